--- a/tests/park_test.cpp
+++ b/tests/park_test.cpp
@@ -1,6 +1,7 @@
 // The park and the crew by themselves, and what the dispatcher owes while links are parked.
 #include "park/park.hpp"
 
+#include <netinet/in.h>
 #include <sys/resource.h>
 #include <sys/socket.h>
 
@@ -337,6 +338,29 @@
   CHECK(client.message().ends_with("\r\n\r\nok"));
 }
 
+// Whether this process still has its side of a connection that was made to `port`.
+bool has_accepted_at(int port) {
+  for (const auto& entry : std::filesystem::directory_iterator("/proc/self/fd")) {
+    const int fd = std::stoi(entry.path().filename());
+    sockaddr_in address{};
+    socklen_t size = sizeof address;
+    int listens = 0;
+    socklen_t flag_size = sizeof listens;
+    if (::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) continue;
+    if (address.sin_family != AF_INET || ntohs(address.sin_port) != port) continue;
+    if (::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &flag_size) == 0 && listens == 0) return true;
+  }
+  return false;
+}
+
+// Opens descriptors until the process may have no more.
+std::vector<Fd> take_free_descriptors() {
+  std::vector<Fd> taken;
+  while (Fd next{::dup(0)}) taken.push_back(std::move(next));
+  REQUIRE(errno == EMFILE);
+  return taken;
+}
+
 // Guards against a crash, and against links that wait for ever, where no descriptor can be had for a while.
 // The undefined-behaviour sanitizer opens a pipe to look at an object's type, and takes its failure for a bad
 // one.
@@ -349,6 +373,9 @@
   first.write("GET /health/live HTTP/1.1\r\n\r\n");
   first.message();
   Peer waits(net::Socket::make(net::Address("127.0.0.1:" + std::to_string(served.node.port()))));
+  // The node closes its side of a management call only after the caller's: not while the descriptors are
+  // gone.
+  await([&served] { return !has_accepted_at(served.node.management_port()); });
   rlimit before{};
   REQUIRE(::getrlimit(RLIMIT_NOFILE, &before) == 0);
   // Nothing above the lowest that is free: what is open stays open.
@@ -360,6 +387,7 @@
   waits.write("GET /health/live HTTP/1.1\r\n\r\n");
   await([] { return Log::with("acceptor: out of descriptors or memory") == 1; });
   // A query that is here already, and can be sent nowhere, has its answer.
+  const std::vector<Fd> taken = take_free_descriptors();
   first.write(query_text("a2", "refund-payout"));
   const std::string refused = first.message();
   REQUIRE(::setrlimit(RLIMIT_NOFILE, &before) == 0);
