--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -1,4 +1,5 @@
-// The interface of this module is include/woadtide/balance.hpp.
+// Implements Dispatcher (include/woadtide/balance.hpp): worker choice, adaptive concurrency limits, retries,
+// outlier ejection and the gradual load of workers that have just started.
 #include "woadtide/balance.hpp"
 
 #include <algorithm>
@@ -14,92 +15,125 @@
 namespace woadtide {
 namespace {
 
-constexpr Micros kInterval = std::chrono::seconds(3);  // the PAPER's gap between two updates of a limit
-constexpr double kBackoffRatio = 0.7;  // a limit's cut; with +1 a step it finds its level in a few steps
-constexpr double kMinLimit = 1, kMaxLimit = 64;  // a worker is never shut off; nothing tests growth for ever
-constexpr double kFirstShare = 8;  // slots at a worker that all dispatchers share out as their first limits
-constexpr std::size_t kFullSample = 20;                // below this many a p95 is the maximum
-constexpr int kFewestSamples = 5, kMostIntervals = 3;  // fewer wait for the next interval, up to so many
-constexpr double kSmoothing = 0.2;                     // weight of a new observation in a running mean
-constexpr Micros kFirstBar = kInterval / 3;        // how long a worker is left alone after its first failure
-constexpr int kFewestFailures = 2, kMostBars = 4;  // in a row, to leave a worker alone; its doublings
-constexpr int kReports = 8, kSilent = 6;       // for a kind's cores; connects that fail where none succeeds
-constexpr Micros kOvertaken = kInterval / 60;  // later jobs may start before by less, on their way there
-constexpr double kJitter = 0.25;               // spread of waits, so that dispatchers do not act in step
-constexpr Micros kWaitMemory = 3 * kInterval;  // fades a wait: one of many dispatchers sees few at a worker
-constexpr double kWaitWeight = 2;   // a wait seen is mostly the work of peers, which nothing else shows
-constexpr double kPickNoise = 0.1;  // spread of pick scores: peers with the same news part ways
-constexpr double kSameDraw = 0.8;   // of a draw: each compares much the same workers, over links that it has
-constexpr double kWorthier = 2;     // slots over the shared limit that a job of far more worth may go
-constexpr double kComparers = 16;   // dispatchers that compare the same worker at once, on average
-constexpr double kSharedCut = 0.35, kSharedRise = 0.19;  // slots, for each late start and each in time
-constexpr double kTurnMargin = 0.5;  // of what a cold worker stands: jobs are uneven and turns may touch
-constexpr double kMoveShare = 0.2;   // moves for a request: where cancelled jobs run on they add load
-constexpr double kCrossing = 3;      // a crossing's price, as late shares of a job's threshold
-
-struct Limiter {
-  double limit = kMinLimit;    // AIMD: in slots
-  std::vector<double> ratios;  // latency over threshold, since the last judged window
-  bool timeout_seen = false;
+// Time between two updates of the AIMD concurrency limits, as the AIMD algorithm prescribes it.
+constexpr Micros kLimitUpdateInterval = std::chrono::seconds(3);
+// Multiplicative decrease of a limit; with an increase of 1 slot per update it settles within a few updates.
+constexpr double kLimitDecreaseFactor = 0.7;
+// At least one slot, so that a worker is never shut off; bounded above, as nothing tests unlimited growth.
+constexpr double kMinLimitSlots = 1, kMaxLimitSlots = 64;
+// Slots at one worker that all dispatchers divide among themselves as their initial limits.
+constexpr double kInitialLimitSlotsOfAll = 8;
+constexpr std::size_t kMinSamplesForP95 = 20;  // with fewer samples the p95 is their maximum
+// A sampling window with fewer samples stays open for another update interval, up to this many.
+constexpr int kMinWindowSamples = 5, kMaxWindowIntervals = 3;
+constexpr double kEwmaWeight = 0.2;  // weight of a new observation in an exponential moving average
+constexpr Micros kFirstEjectionTime = kLimitUpdateInterval / 3;  // doubles with each further ejection
+// Failures in a row that eject a worker, and the ejections in a row after which the time no longer grows.
+constexpr int kMinFailuresToEject = 2, kMaxCountedEjections = 4;
+constexpr int kMinReportsForCores = 8;         // load reports before their mean counts as the cores of a kind
+constexpr int kMinConnectFailuresForZone = 6;  // in a row, with no success, for a zone to count as lost
+// Jobs sent at most this much later may start earlier without being out of order: the network reorders them.
+constexpr Micros kReorderTolerance = kLimitUpdateInterval / 60;
+constexpr double kJitterFraction = 0.25;  // random spread of waits, so that dispatchers do not act in step
+// Decay time of an observed queue wait: one of many dispatchers observes few waits at a worker.
+constexpr Micros kQueueWaitDecayTime = 3 * kLimitUpdateInterval;
+// Weight of an observed queue wait: it is mostly the work of other dispatchers, which nothing else shows.
+constexpr double kQueueWaitFactor = 2;
+constexpr double kScoreNoiseFraction = 0.1;  // spreads the choices of dispatchers that know the same
+// Lower end of the random factor on a worker's constant draw. It is near 1, so that each dispatcher compares
+// much the same workers each time, over connections that it already has.
+constexpr double kMinDrawFactor = 0.8;
+constexpr double kMaxExtraSlotsForWorth = 2;  // over the shared limit, for a job of a far worthier class
+constexpr double kDispatchersPerWorker = 16;  // that compare the same worker at a time, on average
+// Change of the shared limit in slots, for each attempt that is late and each that is in time.
+constexpr double kSharedDecreaseSlots = 0.35, kSharedIncreaseSlots = 0.19;
+// Fraction of the load that a cold worker can bear which is sent: jobs are uneven and turns may overlap.
+constexpr double kColdLoadFraction = 0.5;
+// Moves to another worker earned by each request; few, as cancelled jobs may run on and add load.
+constexpr double kMovesPerRequest = 0.2;
+// Converts Settings::cross_zone_price into a delay: a price of 1 weighs as many latency thresholds of a job.
+constexpr double kCrossZoneThresholds = 3;
+
+// AIMD concurrency limit of this dispatcher at one worker.
+struct AimdLimiter {
+  double limit_slots = kMinLimitSlots;
+  std::vector<double> latency_ratios;  // latency over threshold, since the last completed sampling window
+  bool overload_seen = false;          // an attempt timed out or was turned away, or a connect failed
 };
 
-struct Kind {
-  double pace = 0, cores = 1, told = 0, reports = 0;  // of workers alike; told: cores by their reports
+// What is known of all workers of one kind together.
+struct WorkerKind {
+  double slowdown = 0;  // running time over hinted time, as a moving average; 0: not observed yet
+  double cores = 1;     // cores of one worker, as far as known
+  double reported_cores = 0, report_count = 0;  // mean cores by load reports, and the number of those
 };
 
-// Of one class at one worker: a worker may fail or hang for some of what it gets and serve the rest well.
-struct Health {
-  int failures = 0, jobs = 0;  // since the last good answer; attempts of ours out
-  Micros barred_until{0};
-  int bars = 0, trial_left = 0;  // failures that led to a bar, in a row; good answers wanted for trust
-  bool mute = false;             // a job of ours should have started and did not
+// Health of one worker for one class: a worker may fail or hang for some classes and serve the rest well.
+struct ClassHealth {
+  int consecutive_failures = 0;  // since the last success
+  int attempts_out = 0;          // of this dispatcher
+  Micros ejected_until{0};
+  int ejections = 0;                // in a row
+  int probation_successes_due = 0;  // successes that it still needs to be trusted again
+  bool stalled = false;             // a job of ours did not start although it should have
 };
 
-// An attempt that we wait for no more, still on its worker's slots: a cancel or a time-out stops nothing.
-struct Leftover {
-  Micros until{0}, work{0};  // until: when it should be done
+// An attempt that is no longer awaited but still holds a slot of its worker: a cancellation or a time-out
+// does not stop the job there.
+struct AbandonedAttempt {
+  Micros expected_end{0}, work{0};
 };
 
 struct Worker {
   ListEntry entry;
-  Kind* kind = nullptr;
-  double* usual_wait = nullptr;  // of its kind in its zone
-  int jobs = 0;                  // attempts of ours out, with their slots and hinted work
-  double slots = 0, running = 0;
-  Micros work{0};
-  std::vector<Leftover> left;
-  Limiter limiter;
-  double peers = kMaxLimit;  // jobs of others there by its reports, on average; untold: it is full
-  int intervals = 0, link_failures = 0;  // that its window has been open; since its last good answer
-  bool thin = true;            // too few answers to judge it alone; a cold one's turns limit it already
-  double pace = 0;             // running time over hinted; 0: not seen yet
-  Micros wait{0}, wait_at{0};  // recent wait in the queue, and as of when
-  std::vector<Health> health;  // by class
-  Micros full_until{0};
+  WorkerKind* kind = nullptr;
+  double* usual_wait_s = nullptr;  // queue wait usual for its kind in its zone
+  // Outstanding attempts of this dispatcher: their number, their slots, those of the started ones, their
+  // work.
+  int attempts_out = 0;
+  double slots_out = 0, slots_started = 0;
+  Micros work_out{0};
+  std::vector<AbandonedAttempt> abandoned;
+  AimdLimiter limiter;
+  // Mean number of other dispatchers' jobs there, by its load reports; without reports it counts as full.
+  double peer_jobs = kMaxLimitSlots;
+  int window_intervals = 0;  // update intervals for which the sampling window has been open
+  int link_failures = 0;     // connects failed or connections lost since the last success
+  bool sparse = true;        // too few samples for a limit of its own
+  double slowdown = 0;       // running time over hinted time, as a moving average; 0: not observed yet
+  Micros queue_wait{0}, queue_wait_at{0};  // last estimate of the queue wait, and its time
+  std::vector<ClassHealth> class_health;   // by class index
+  Micros full_until{0};                    // it said that it is full: nothing is sent before this time
   std::optional<Micros> cold_since;
-  double last_cycle = -1, next_cycle = -1;  // of its dispatchers' turns: where ours is spent, and is on
+  double used_cycle = -1, current_cycle = -1;  // of turns at a cold worker: the last one used, the one now on
 };
 
-struct Ban {
+// An operator's exclusion of a worker.
+struct Exclusion {
   Micros since{0};
-  std::optional<Micros> over;  // called back, but the list did not name it then
+  std::optional<Micros> lifted_at;  // kept until the list names the worker, which it did not at that time
 };
 
 struct Attempt {
   std::string worker;
-  Micros sent{0};
-  std::optional<Micros> began;
-  bool out = true, counted = false;  // counted: by the shared limit
+  Micros sent_at{0};
+  std::optional<Micros> started_at;
+  bool outstanding = true, counted = false;  // counted: it has changed the shared limit already
 };
 
+// A request in work.
 struct Job {
   Request request;
-  Micros deadline{0}, work{0}, threshold{0};  // work: the hint, or what its class usually takes
+  Micros deadline{0};
+  Micros work{0};       // hinted running time, or what the class usually takes
+  Micros threshold{0};  // an attempt with a longer latency counts as late
   std::vector<Attempt> attempts;
   bool finished = false;
-  double luck = 0;                     // by a draw it keeps a limit that is no whole number on average
+  // Slots that it may go over the shared limit. Random, so that a fractional limit is kept on average; larger
+  // for a class of more worth.
+  double extra_slots = 0;
   std::optional<Micros> may_have_run;  // send time of the first attempt that may have run
-  ListEntry ran_at;
+  ListEntry may_have_run_at;           // that attempt's worker
 };
 
 }  // namespace
@@ -109,576 +143,663 @@
   State(Settings settings, std::uint64_t seed)
       : settings_(std::move(settings)), random_(seed), subscription_(settings_) {
     check(settings_);
-    for (const ClassSettings& kind : settings_.classes) least_worth_ = std::min(least_worth_, kind.worth);
-    class_work_.assign(settings_.classes.size(), Micros{0});
-    // Where starts are not told an answer may be late by its own running: a limit keeps a share of the first.
-    if (!settings_.tells_start) least_limit_ = std::max(kMinLimit, kFirstShare / settings_.dispatchers);
+    for (const ClassSettings& job_class : settings_.classes)
+      min_class_worth_ = std::min(min_class_worth_, job_class.worth);
+    usual_class_latency_.assign(settings_.classes.size(), Micros{0});
+    // Where workers do not tell starts, an answer may be late by its own running time alone. A limit then
+    // does not fall below this dispatcher's share of the initial one.
+    if (!settings_.tells_start)
+      min_limit_slots_ = std::max(kMinLimitSlots, kInitialLimitSlotsOfAll / settings_.dispatchers);
   }
 
-  void begin(Micros now, std::vector<Action>& actions) {
+  // Prepares for an event at `now` whose actions go to `actions`; the first call also starts the timers.
+  void begin_event(Micros now, std::vector<Action>& actions) {
     now_ = now;
     actions_ = &actions;
-    if (std::exchange(started_, true)) return;
-    set_timer("limits", scaled(kInterval, uniform(0.5, 1)));
-    if (settings_.list_on_request) ask_in(subscription_.begin(now, uniform(0, 1)));
+    if (std::exchange(timers_started_, true)) return;
+    set_timer("limits", scaled(kLimitUpdateInterval, uniform(0.5, 1)));
+    if (settings_.list_on_request) subscribe_in(subscription_.begin(now, uniform(0, 1)));
   }
 
-  void on(const ListUpdate& update) {
+  void on_event(const ListUpdate& update) {
     if (update.kind == ListKind::failed)
-      return ask_in(subscription_.on_failure(now_, update.as_of, uniform(0, 1)));
+      return subscribe_in(subscription_.on_failure(now_, update.as_of, uniform(0, 1)));
     if (update.kind == ListKind::interrupted) return subscription_.on_interruption(now_, update.as_of);
     update.kind == ListKind::remembered ? subscription_.on_remembered_list(update.as_of)
                                         : subscription_.on_list(now_);
     if (update.kind != ListKind::changes)
       for (auto& [name, worker] : workers_) worker.entry.state = WorkerState::gone;
-    for (const ListEntry& entry : update.entries) list_worker(entry);
+    for (const ListEntry& entry : update.entries) update_worker(entry);
     if (update.kind != ListKind::changes)
-      for (auto item = workers_.begin(); item != workers_.end();) drop_if_gone(item++);
+      for (auto item = workers_.begin(); item != workers_.end();) erase_if_gone(item++);
   }
 
-  void drop_if_gone(std::map<std::string, Worker>::iterator item) {
-    if (item->second.entry.state == WorkerState::gone && item->second.jobs == 0) workers_.erase(item);
+  // Forgets a worker that has left the list, once no attempt is outstanding there.
+  void erase_if_gone(std::map<std::string, Worker>::iterator item) {
+    if (item->second.entry.state == WorkerState::gone && item->second.attempts_out == 0) workers_.erase(item);
   }
 
-  void list_worker(const ListEntry& entry) {
+  void update_worker(const ListEntry& entry) {
     const auto [item, is_new] = workers_.try_emplace(entry.worker);
     Worker& worker = item->second;
-    if (is_new) worker.limiter.limit = first_limit(), worker.health.resize(settings_.classes.size());
+    if (is_new)
+      worker.limiter.limit_slots = initial_limit_slots(),
+      worker.class_health.resize(settings_.classes.size());
     const bool restarted = entry.started && entry.started != worker.entry.started;
     worker.entry = entry;
     worker.kind = &kinds_[entry.kind];
-    worker.usual_wait = &usual_wait_[{entry.zone, entry.kind}];
-    // One that lies ahead of this clock was told by another: it is over by now.
-    if (restarted && entry.state == WorkerState::ready) start_cold(worker, std::min(*entry.started, now_));
-    take_back(worker);
-    drop_if_gone(item);
+    worker.usual_wait_s = &usual_wait_s_[{entry.zone, entry.kind}];
+    // A start time ahead of this clock comes from another clock: the start has happened by now.
+    if (restarted && entry.state == WorkerState::ready) mark_cold(worker, std::min(*entry.started, now_));
+    reinstate_if_lifted(worker);
+    erase_if_gone(item);
   }
 
-  void on(const Exclude& call) { bans_.try_emplace(call.worker, Ban{now_, {}}).first->second.over.reset(); }
+  void on_event(const Exclude& call) {
+    exclusions_.try_emplace(call.worker, Exclusion{now_, {}}).first->second.lifted_at.reset();
+  }
 
-  void on(const Include& call) {
-    if (const auto ban = bans_.find(call.worker); ban != bans_.end()) ban->second.over = now_;
-    if (const auto known = workers_.find(call.worker); known != workers_.end()) take_back(known->second);
+  void on_event(const Include& call) {
+    if (const auto exclusion = exclusions_.find(call.worker); exclusion != exclusions_.end())
+      exclusion->second.lifted_at = now_;
+    if (const auto known = workers_.find(call.worker); known != workers_.end())
+      reinstate_if_lifted(known->second);
   }
 
-  void take_back(Worker& worker) {
-    const auto ban = bans_.find(worker.entry.worker);
-    if (ban == bans_.end() || !ban->second.over) return;
-    for (Health& one : worker.health) one = {.jobs = one.jobs};
+  // Ends a lifted exclusion: the worker's failures are forgotten, and it counts as cold since its listed
+  // start or, where that is older than the exclusion, since the exclusion was lifted.
+  void reinstate_if_lifted(Worker& worker) {
+    const auto exclusion = exclusions_.find(worker.entry.worker);
+    if (exclusion == exclusions_.end() || !exclusion->second.lifted_at) return;
+    for (ClassHealth& health : worker.class_health) health = {.attempts_out = health.attempts_out};
     worker.link_failures = 0;
-    const Micros told = worker.entry.started.value_or(Micros{0});
-    start_cold(worker, told > ban->second.since ? told : *ban->second.over);
-    bans_.erase(ban);
+    const Micros listed_start = worker.entry.started.value_or(Micros{0});
+    mark_cold(worker, listed_start > exclusion->second.since ? listed_start : *exclusion->second.lifted_at);
+    exclusions_.erase(exclusion);
   }
 
-  bool is_out(const std::string& worker) const { return bans_.contains(worker) && !bans_.at(worker).over; }
+  bool is_excluded(const std::string& worker) const {
+    return exclusions_.contains(worker) && !exclusions_.at(worker).lifted_at;
+  }
 
-  Census census(Micros now) const {
-    Census seen;
+  Census worker_counts(Micros now) const {
+    Census counts;
     for (const auto& [name, worker] : workers_) {
       if (worker.entry.state == WorkerState::gone) continue;
-      const auto avoids = [&](const Health& one) { return one.mute || now < one.barred_until; };
-      seen.listed += 1;
-      seen.avoided += is_out(name) || std::all_of(worker.health.begin(), worker.health.end(), avoids);
+      const auto is_avoided = [&](const ClassHealth& health) {
+        return health.stalled || now < health.ejected_until;
+      };
+      counts.listed += 1;
+      counts.avoided += is_excluded(name) ||
+                        std::all_of(worker.class_health.begin(), worker.class_health.end(), is_avoided);
     }
-    return seen;
+    return counts;
   }
 
-  bool knows(const std::string& worker) const { return workers_.contains(worker) || bans_.contains(worker); }
+  bool knows(const std::string& worker) const {
+    return workers_.contains(worker) || exclusions_.contains(worker);
+  }
 
-  double first_limit() const { return std::max(std::floor(kFirstShare / settings_.dispatchers), 2.0); }
+  double initial_limit_slots() const {
+    return std::max(std::floor(kInitialLimitSlotsOfAll / settings_.dispatchers), 2.0);
+  }
 
-  void ask_for_list() {
+  void subscribe() {
     actions_->push_back(Watch{});
-    ask_in(subscription_.on_call(now_, uniform(0, 1)));
+    subscribe_in(subscription_.on_call(now_, uniform(0, 1)));
   }
 
-  // Timers can't be called back: only the newest counts, or each failed call would leave one more behind.
-  void ask_in(Micros wait) {
-    ask_at_ = now_ + wait;
-    wait.count() > 0 ? set_timer("ask", wait) : ask_for_list();
+  // A timer cannot be cancelled. Only the newest one counts, or each failed call would leave one more
+  // running.
+  void subscribe_in(Micros wait) {
+    subscribe_at_ = now_ + wait;
+    wait.count() > 0 ? set_timer("ask", wait) : subscribe();
   }
 
-  // AIMD limiter: the PAPER's, over our own slots and latencies at each worker --------------------------
+  // AIMD concurrency limits, over this dispatcher's own slots and latencies at each worker ----------------
 
   void update_limits() {
-    // A job that is out past its threshold is a slow one already: waiting for its end would tell too late.
+    // An outstanding attempt that is past its threshold counts as slow now: its end would tell too late.
     for (auto& [id, job] : jobs_)
       for (Attempt& attempt : job.attempts)
-        if (const Micros age = now_ - attempt.sent; attempt.out && age > job.threshold)
-          count(workers_.at(attempt.worker), attempt, ratio(age, job.threshold));
-    for (auto& [name, worker] : workers_) judge(worker);
-    set_timer("limits", kInterval);
-  }
-
-  void judge(Worker& worker) {
-    Limiter& own = worker.limiter;
-    const bool filled = std::ssize(own.ratios) >= kFewestSamples;
-    if (!filled && !own.timeout_seen && ++worker.intervals < kMostIntervals) return;
-    worker.thin = !filled;
-    if (filled || own.timeout_seen) update_limit(own, worker.slots);
-    own.ratios.clear();
-    worker.intervals = 0;
-  }
-
-  static bool is_thin(const Worker& worker) { return worker.thin && !worker.cold_since; }
-
-  // One of many dispatchers has an answer from a given worker once in minutes: what is too thin is judged
-  // together, and as it comes, by its wait already, so that all still refuse when hundreds overfill a fleet.
-  // A worker that has a slot free was not late for want of it.
-  void count(Worker& worker, Attempt& attempt, double late, bool idle = false) {
-    worker.limiter.ratios.push_back(late);
-    count_shared(worker, attempt, late > 1 && !idle);
-  }
-
-  // A few stuck jobs would outweigh all that go well: each attempt counts once.
-  void count_shared(const Worker& worker, Attempt& attempt, bool late) {
-    if (std::exchange(attempt.counted, true) || !is_thin(worker)) return;
-    const double out = slots_out(true), step = std::min(shared_limit_, 1.0);
-    shared_used_ = std::max(out, 0.9 * shared_used_);
-    if (late) shared_limit_ = std::min(shared_limit_, shared_used_) - kSharedCut * step;
-    if (!late && 2 * out >= shared_limit_) shared_limit_ += kSharedRise * step;
-    shared_limit_ = std::clamp(shared_limit_, 3 * kFirstShare / settings_.dispatchers, kMaxLimit);
-  }
-
-  void update_limit(Limiter& own, double slots) {
-    if (own.timeout_seen || quantile(own.ratios, 0.95, kFullSample) > 1)
-      own.limit = std::floor(own.limit * kBackoffRatio);
-    else if (slots * 2 >= own.limit)
-      own.limit += 1;
-    own.limit = std::clamp(own.limit, least_limit_, kMaxLimit);
-    own.timeout_seen = false;
-  }
-
-  void on(const Request& request) {
+        if (const Micros age = now_ - attempt.sent_at; attempt.outstanding && age > job.threshold)
+          record_latency(workers_.at(attempt.worker), attempt, ratio(age, job.threshold));
+    for (auto& [name, worker] : workers_) close_window_if_full(worker);
+    set_timer("limits", kLimitUpdateInterval);
+  }
+
+  // Ends the worker's sampling window when it has enough samples, saw overload or is old enough, and updates
+  // the limit by what it holds.
+  void close_window_if_full(Worker& worker) {
+    AimdLimiter& limiter = worker.limiter;
+    const bool enough_samples = std::ssize(limiter.latency_ratios) >= kMinWindowSamples;
+    if (!enough_samples && !limiter.overload_seen && ++worker.window_intervals < kMaxWindowIntervals) return;
+    worker.sparse = !enough_samples;
+    if (enough_samples || limiter.overload_seen) update_limit(limiter, worker.slots_out);
+    limiter.latency_ratios.clear();
+    worker.window_intervals = 0;
+  }
+
+  // Whether the shared limit holds for this worker. It does not for a cold one: its turns limit it already.
+  static bool is_sparse(const Worker& worker) { return worker.sparse && !worker.cold_since; }
+
+  // One of many dispatchers gets an answer from a given worker only every few minutes. Workers with sparse
+  // samples therefore share one limit, which changes with each result, and already with the queue wait: so
+  // all dispatchers still refuse when hundreds of them overload a fleet. A job was not late for lack of
+  // capacity where its worker has a free slot.
+  void record_latency(Worker& worker, Attempt& attempt, double latency_ratio, bool has_free_slot = false) {
+    worker.limiter.latency_ratios.push_back(latency_ratio);
+    update_shared_limit(worker, attempt, latency_ratio > 1 && !has_free_slot);
+  }
+
+  // Each attempt counts once; else a few stuck jobs would outweigh all that go well.
+  void update_shared_limit(const Worker& worker, Attempt& attempt, bool late) {
+    if (std::exchange(attempt.counted, true) || !is_sparse(worker)) return;
+    const double out = slots_out(true), step = std::min(shared_limit_slots_, 1.0);
+    shared_peak_slots_ = std::max(out, 0.9 * shared_peak_slots_);
+    if (late)
+      shared_limit_slots_ = std::min(shared_limit_slots_, shared_peak_slots_) - kSharedDecreaseSlots * step;
+    if (!late && 2 * out >= shared_limit_slots_) shared_limit_slots_ += kSharedIncreaseSlots * step;
+    shared_limit_slots_ =
+        std::clamp(shared_limit_slots_, 3 * kInitialLimitSlotsOfAll / settings_.dispatchers, kMaxLimitSlots);
+  }
+
+  // AIMD: multiplicative decrease on overload, additive increase while at least half of the limit is used.
+  void update_limit(AimdLimiter& limiter, double slots) {
+    if (limiter.overload_seen || quantile(limiter.latency_ratios, 0.95, kMinSamplesForP95) > 1)
+      limiter.limit_slots = std::floor(limiter.limit_slots * kLimitDecreaseFactor);
+    else if (slots * 2 >= limiter.limit_slots)
+      limiter.limit_slots += 1;
+    limiter.limit_slots = std::clamp(limiter.limit_slots, min_limit_slots_, kMaxLimitSlots);
+    limiter.overload_seen = false;
+  }
+
+  void on_event(const Request& request) {
     if (request.class_index >= settings_.classes.size() || jobs_.contains(request.id)) return;
-    const ClassSettings& kind = settings_.classes[request.class_index];
+    const ClassSettings& job_class = settings_.classes[request.class_index];
     Job job;
     job.request = request;
     job.deadline = now_ + request.time_left;
-    job.work = request.hint.value_or(class_work_[request.class_index]);
-    job.threshold = kind.aim ? *kind.aim + scaled(job.work, kind.stretch) : kind.deadline / 2;
-    job.threshold = std::min(job.threshold, kind.deadline);
-    job.luck = uniform(0, 1) + kWorthier * (1 - least_worth_ / std::max({kind.worth, least_worth_, 1e-9}));
-    mean_load_ += kSmoothing * (load_of(job) - mean_load_);
-    moves_left_ = std::min(moves_left_ + kMoveShare, 1 / kMoveShare);
+    job.work = request.hint.value_or(usual_class_latency_[request.class_index]);
+    job.threshold =
+        job_class.aim ? *job_class.aim + scaled(job.work, job_class.stretch) : job_class.deadline / 2;
+    job.threshold = std::min(job.threshold, job_class.deadline);
+    job.extra_slots =
+        uniform(0, 1) +
+        kMaxExtraSlotsForWorth * (1 - min_class_worth_ / std::max({job_class.worth, min_class_worth_, 1e-9}));
+    mean_slot_seconds_ += kEwmaWeight * (slot_seconds(job) - mean_slot_seconds_);
+    move_budget_ = std::min(move_budget_ + kMovesPerRequest, 1 / kMovesPerRequest);
     const auto placed = jobs_.emplace(request.id, std::move(job)).first;
-    dispatch(placed->second);
-    drop_if_over(placed);
+    send_or_answer(placed->second);
+    erase_if_over(placed);
   }
 
-  bool admits(const Worker& worker, const Job& job) const {
-    if (is_thin(worker) && shared_slots_ + job.request.slots - job.luck > shared_limit_) return false;
-    // A core that stands idle is no overload, whatever late answers say.
-    const double idle = worker.cold_since ? 0 : worker.kind->cores - worker.peers;
-    return worker.jobs == 0 || worker.slots + job.request.slots <= std::max(idle, worker.limiter.limit);
-  }
-
-  bool may_take(const Worker& worker, const Job& job) const {
-    const ClassSettings& kind = class_of(job);
-    if (worker.entry.state != WorkerState::ready || is_out(worker.entry.worker)) return false;
-    if (!kind.kind.empty() && kind.kind != worker.entry.kind) return false;
-    if (kind.effect == Effect::keyed && job.may_have_run) {
-      if (kind.group == Group::zone && worker.entry.zone != job.ran_at.zone) return false;
-      if (kind.group == Group::cell && worker.entry.cell != job.ran_at.cell) return false;
+  // Whether the shared limit and the worker's own limit leave room for the job.
+  bool has_room(const Worker& worker, const Job& job) const {
+    if (is_sparse(worker) && sparse_slots_out_ + job.request.slots - job.extra_slots > shared_limit_slots_)
+      return false;
+    // An idle core is no overload, whatever late answers suggest.
+    const double idle_cores = worker.cold_since ? 0 : worker.kind->cores - worker.peer_jobs;
+    return worker.attempts_out == 0 ||
+           worker.slots_out + job.request.slots <= std::max(idle_cores, worker.limiter.limit_slots);
+  }
+
+  // Whether the list, exclusions, the class and earlier attempts let the job go to this worker.
+  bool is_eligible(const Worker& worker, const Job& job) const {
+    const ClassSettings& job_class = class_of(job);
+    if (worker.entry.state != WorkerState::ready || is_excluded(worker.entry.worker)) return false;
+    if (!job_class.kind.empty() && job_class.kind != worker.entry.kind) return false;
+    if (job_class.effect == Effect::keyed && job.may_have_run) {
+      if (job_class.group == Group::zone && worker.entry.zone != job.may_have_run_at.zone) return false;
+      if (job_class.group == Group::cell && worker.entry.cell != job.may_have_run_at.cell) return false;
     }
     return std::none_of(job.attempts.begin(), job.attempts.end(),
                         [&](const Attempt& a) { return a.worker == worker.entry.worker; });
   }
 
-  // Many that know little would all see the same worker as best: each compares a few, drawn by listed size.
-  Worker* pick(const Job& job) {
-    std::vector<std::pair<double, Worker*>> found;
+  // Returns the worker with the least expected delay of a few candidates, or null where none may take the
+  // job. Were all compared, many dispatchers that know little would all see the same worker as the best one.
+  // The candidates are drawn at random, weighted by listed size and speed.
+  Worker* pick_worker(const Job& job) {
+    std::vector<std::pair<double, Worker*>> candidates;
     int best_rank = 1;
     if (!subscription_.is_list_in_force(now_)) return nullptr;
-    const bool use_barred = nearly_all_barred(job);
-    shared_slots_ = slots_out(true);
+    const bool use_ejected = most_are_ejected(job);
+    sparse_slots_out_ = slots_out(true);
     for (auto& [name, worker] : workers_) {
-      std::erase_if(worker.left, [this](const Leftover& left) { return left.until <= now_; });
-      if (!may_take(worker, job) || !admits(worker, job)) continue;
-      const std::optional<int> rank = rank_of(worker, job, use_barred);
+      std::erase_if(worker.abandoned,
+                    [this](const AbandonedAttempt& attempt) { return attempt.expected_end <= now_; });
+      if (!is_eligible(worker, job) || !has_room(worker, job)) continue;
+      const std::optional<int> rank = rank_of(worker, job, use_ejected);
       if (!rank || *rank > best_rank) continue;
-      if (*rank < best_rank) found.clear(), best_rank = *rank;
-      const double draw = -std::log(draw_of(name, settings_.number) * uniform(kSameDraw, 1)) *
-                          pace_of(worker) / std::max(worker.entry.weight, 0.1);
-      // A turn at a cold worker is soon over: it comes before all draws, or few turns were ever used.
-      found.emplace_back(worker.cold_since ? -1 / draw : draw, &worker);
+      if (*rank < best_rank) candidates.clear(), best_rank = *rank;
+      const double draw = -std::log(draw_of(name, settings_.number) * uniform(kMinDrawFactor, 1)) *
+                          slowdown_of(worker) / std::max(worker.entry.weight, 0.1);
+      // A turn at a cold worker is short: it goes before all other draws, or few turns would be used.
+      candidates.emplace_back(worker.cold_since ? -1 / draw : draw, &worker);
     }
-    const auto abroad = std::partition(found.begin(), found.end(), [this](const auto& item) {
+    const auto other_zones = std::partition(candidates.begin(), candidates.end(), [this](const auto& item) {
       return item.second->entry.zone == settings_.zone;
     });
     Worker* best = nullptr;
-    double least = 0;
-    for (auto [from, to] : {std::pair{found.begin(), abroad}, std::pair{abroad, found.end()}}) {
-      const auto last = from + compared(to - from);
+    double min_delay_s = 0;
+    for (auto [from, to] :
+         {std::pair{candidates.begin(), other_zones}, std::pair{other_zones, candidates.end()}}) {
+      const auto last = from + compared_count(to - from);
       std::nth_element(from, last, to);
       for (; from != last; ++from) {
-        const double ahead = work_ahead(*from->second, job);
-        if (!best || ahead < least) best = from->second, least = ahead;
+        const double delay_s = delay_score_s(*from->second, job);
+        if (!best || delay_s < min_delay_s) best = from->second, min_delay_s = delay_s;
       }
     }
     return best;
   }
 
-  std::ptrdiff_t compared(std::ptrdiff_t count) const {
-    const double share = std::ceil(static_cast<double>(count) * kComparers / settings_.dispatchers);
+  // How many of `count` candidates to compare.
+  std::ptrdiff_t compared_count(std::ptrdiff_t count) const {
+    const double share =
+        std::ceil(static_cast<double>(count) * kDispatchersPerWorker / settings_.dispatchers);
     return std::min(count, std::max<std::ptrdiff_t>(2, static_cast<std::ptrdiff_t>(share)));
   }
 
-  // 0: the ordinary path. 1: on trial, for jobs that must not fail.
-  std::optional<int> rank_of(Worker& worker, const Job& job, bool use_barred) {
+  // 0: usable as any other. 1: only where no other is, as the worker is on probation and the job is unsafe to
+  // repeat. Absent: not usable now.
+  std::optional<int> rank_of(Worker& worker, const Job& job, bool use_ejected) {
     if (now_ < worker.full_until) return std::nullopt;
-    const Health& health = health_of(worker, job);
-    if ((health.mute || now_ < health.barred_until) && !use_barred) return std::nullopt;
-    if (worker.cold_since && !cold_turn(worker, job)) return std::nullopt;
-    if (health.trial_left == 0) return 0;
-    if (health.jobs > 0 && !use_barred) return std::nullopt;
+    const ClassHealth& health = health_of(worker, job);
+    if ((health.stalled || now_ < health.ejected_until) && !use_ejected) return std::nullopt;
+    if (worker.cold_since && !has_cold_turn(worker, job)) return std::nullopt;
+    if (health.probation_successes_due == 0) return 0;
+    if (health.attempts_out > 0 && !use_ejected) return std::nullopt;
     return class_of(job).effect == Effect::unsafe ? 1 : 0;
   }
 
-  // Our outstanding hinted work there with this job, at the pace seen there, and what the queue lately cost.
-  double work_ahead(const Worker& worker, const Job& job) {
-    const double away = worker.entry.zone == settings_.zone ? 0 : settings_.cross_zone_price * kCrossing;
-    Micros work = worker.work + job.work;
-    for (const Leftover& left : worker.left) work += left.work;
-    const double ours = seconds(work) * pace_of(worker);
-    const double ahead = ours + kWaitWeight * expected_wait(worker) + away * seconds(job.threshold);
-    return ahead * uniform(1 - kPickNoise, 1 + kPickNoise);
+  // Expected delay of the job at the worker: this dispatcher's outstanding work there including this job, at
+  // the worker's speed, and the recent queue wait, with a penalty for another zone and some noise.
+  double delay_score_s(const Worker& worker, const Job& job) {
+    const double zone_thresholds =
+        worker.entry.zone == settings_.zone ? 0 : settings_.cross_zone_price * kCrossZoneThresholds;
+    Micros work = worker.work_out + job.work;
+    for (const AbandonedAttempt& attempt : worker.abandoned) work += attempt.work;
+    const double own_work_s = seconds(work) * slowdown_of(worker);
+    const double delay_s =
+        own_work_s + kQueueWaitFactor * expected_wait_s(worker) + zone_thresholds * seconds(job.threshold);
+    return delay_s * uniform(1 - kScoreNoiseFraction, 1 + kScoreNoiseFraction);
   }
 
-  double expected_wait(const Worker& worker) const {
-    const double usual = worker.cold_since ? 0 : *worker.usual_wait;  // few get turns: it has no queue
-    return usual + faded(seconds(worker.wait) - usual, now_ - worker.wait_at, kWaitMemory);
+  // Expected queue wait: what was observed, decaying to what is usual for such workers.
+  double expected_wait_s(const Worker& worker) const {
+    const double usual_s = worker.cold_since ? 0 : *worker.usual_wait_s;  // few have turns: it has no queue
+    return usual_s +
+           decayed(seconds(worker.queue_wait) - usual_s, now_ - worker.queue_wait_at, kQueueWaitDecayTime);
   }
 
-  double pace_of(const Worker& worker) const {
-    if (worker.cold_since) return usual_pace(worker) / warm_share(worker);
-    return worker.pace > 0 ? worker.pace : usual_pace(worker);
+  double slowdown_of(const Worker& worker) const {
+    if (worker.cold_since) return usual_slowdown(worker) / warm_share(worker);
+    return worker.slowdown > 0 ? worker.slowdown : usual_slowdown(worker);
   }
 
-  double usual_pace(const Worker& worker) const { return worker.kind->pace > 0 ? worker.kind->pace : 1; }
+  double usual_slowdown(const Worker& worker) const {
+    return worker.kind->slowdown > 0 ? worker.kind->slowdown : 1;
+  }
 
-  void dispatch(Job& job) {
+  // Sends the job's next attempt, or ends the job where none may be sent.
+  void send_or_answer(Job& job) {
     const bool time_left = now_ + settings_.tick < job.deadline;
-    Worker* worker = time_left && tries_left(job) && may_send(job) ? pick(job) : nullptr;
-    if (worker && (job.attempts.empty() || !hopeless(job, *worker))) return send(job, *worker);
-    answer(job);
+    Worker* worker = time_left && has_attempts_left(job) && may_repeat(job) ? pick_worker(job) : nullptr;
+    if (worker && (job.attempts.empty() || !is_not_worth_running(job, *worker))) return send(job, *worker);
+    refuse_or_fail(job);
   }
 
   const ClassSettings& class_of(const Job& job) const { return settings_.classes[job.request.class_index]; }
 
-  bool tries_left(const Job& job) const { return std::ssize(job.attempts) < settings_.max_attempts; }
+  bool has_attempts_left(const Job& job) const { return std::ssize(job.attempts) < settings_.max_attempts; }
 
-  // An attempt that may have run bars an unsafe job from another, a keyed one after its window.
-  bool may_send(const Job& job) const {
-    const ClassSettings& kind = class_of(job);
-    if (!job.may_have_run || kind.effect == Effect::safe) return true;
-    return kind.effect == Effect::keyed && now_ + settings_.tick < *job.may_have_run + kind.window;
+  // After an attempt that may have run, an unsafe job is not sent again, and a keyed one only within its
+  // deduplication window.
+  bool may_repeat(const Job& job) const {
+    const ClassSettings& job_class = class_of(job);
+    if (!job.may_have_run || job_class.effect == Effect::safe) return true;
+    return job_class.effect == Effect::keyed && now_ + settings_.tick < *job.may_have_run + job_class.window;
   }
 
+  // Whether the client may be told that a retry does no harm.
   bool may_refuse(const Job& job) const {
-    const ClassSettings& kind = class_of(job);
-    const bool any_repeats = kind.effect == Effect::keyed && kind.group == Group::all;
-    return !job.may_have_run || kind.effect == Effect::safe || any_repeats;
+    const ClassSettings& job_class = class_of(job);
+    const bool all_workers_deduplicate = job_class.effect == Effect::keyed && job_class.group == Group::all;
+    return !job.may_have_run || job_class.effect == Effect::safe || all_workers_deduplicate;
   }
 
   void send(Job& job, Worker& worker) {
-    worker.jobs += 1;
-    health_of(worker, job).jobs += 1;
-    worker.slots += job.request.slots;
-    worker.work += job.work;
-    worker.last_cycle = worker.next_cycle;
+    worker.attempts_out += 1;
+    health_of(worker, job).attempts_out += 1;
+    worker.slots_out += job.request.slots;
+    worker.work_out += job.work;
+    worker.used_cycle = worker.current_cycle;
     job.attempts.push_back({worker.entry.worker, now_, std::nullopt, true});
     const bool repeats = class_of(job).effect == Effect::keyed && job.may_have_run;
     const Micros not_after = repeats ? *job.may_have_run + class_of(job).window : Micros{0};
     actions_->push_back(Send{job.request.id, worker.entry.worker, Micros{0}, not_after});
     if (!settings_.tells_start) return;
-    const double patience = std::max(2 * expected_wait(worker), seconds(job.threshold) / 4);
+    const double check_after_s = std::max(2 * expected_wait_s(worker), seconds(job.threshold) / 4);
     set_timer("start " + std::to_string(job.attempts.size() - 1) + ' ' + job.request.id,
-              seconds_span(patience));
+              seconds_to_micros(check_after_s));
   }
 
-  void answer(Job& job) {
+  void refuse_or_fail(Job& job) {
     job.finished = true;
     if (!may_refuse(job)) return actions_->push_back(Fail{job.request.id});
-    const Micros wait = std::min(scaled(job.threshold / 4, spread()), settings_.max_retry_after);
+    const Micros wait = std::min(scaled(job.threshold / 4, jitter_factor()), settings_.max_retry_after);
     actions_->push_back(Refuse{job.request.id, wait});
   }
 
-  void on(const Outcome& outcome) {
-    const auto [found, attempt] = find_out(outcome.id, outcome.attempt);
+  void on_event(const Outcome& outcome) {
+    const auto [found, attempt] = find_outstanding(outcome.id, outcome.attempt);
     if (!attempt) return;
     Job& job = found->second;
     const auto item = workers_.find(attempt->worker);
     Worker& worker = item->second;
-    attempt->out = false;
-    worker.jobs -= 1;
-    worker.slots = worker.jobs == 0 ? 0 : worker.slots - job.request.slots;
-    worker.work -= job.work;
-    if (attempt->began) worker.running = worker.jobs == 0 ? 0 : worker.running - job.request.slots;
+    attempt->outstanding = false;
+    worker.attempts_out -= 1;
+    worker.slots_out = worker.attempts_out == 0 ? 0 : worker.slots_out - job.request.slots;
+    worker.work_out -= job.work;
+    if (attempt->started_at)
+      worker.slots_started = worker.attempts_out == 0 ? 0 : worker.slots_started - job.request.slots;
     if (outcome.status == Status::cancelled || outcome.status == Status::timeout)
-      leave(worker, job, *attempt);
-    observe(worker, job, *attempt, outcome.status, outcome.load && outcome.load->free_slots.value_or(0) >= 1);
-    if (outcome.load) hear(worker, *outcome.load);
-    if (Health& health = health_of(worker, job); --health.jobs == 0) health.mute = false;
+      add_abandoned(worker, job, *attempt);
+    record_outcome(worker, job, *attempt, outcome.status,
+                   outcome.load && outcome.load->free_slots.value_or(0) >= 1);
+    if (outcome.load) record_load(worker, *outcome.load);
+    if (ClassHealth& health = health_of(worker, job); --health.attempts_out == 0) health.stalled = false;
     if (!proves_not_run(outcome.status) && !job.may_have_run)
-      job.may_have_run = attempt->sent, job.ran_at = worker.entry;
+      job.may_have_run = attempt->sent_at, job.may_have_run_at = worker.entry;
     if (outcome.closed || outcome.status == Status::ok) job.finished = true;
-    if (!job.finished) dispatch(job);
-    drop_if_over(found);
-    drop_if_gone(item);
+    if (!job.finished) send_or_answer(job);
+    erase_if_over(found);
+    erase_if_gone(item);
   }
 
-  void leave(Worker& worker, const Job& job, const Attempt& attempt) const {
-    if (health_of(worker, job).mute) return;
-    const Micros begin = attempt.began.value_or(now_ + seconds_span(expected_wait(worker)));
-    const Micros end = begin + seconds_span(seconds(job.work) * pace_of(worker));
-    if (end > now_) worker.left.push_back({end, job.work});
+  // Keeps the attempt's work in the worker's load until it should be done; not where its class is stalled.
+  void add_abandoned(Worker& worker, const Job& job, const Attempt& attempt) const {
+    if (health_of(worker, job).stalled) return;
+    const Micros begin = attempt.started_at.value_or(now_ + seconds_to_micros(expected_wait_s(worker)));
+    const Micros end = begin + seconds_to_micros(seconds(job.work) * slowdown_of(worker));
+    if (end > now_) worker.abandoned.push_back({end, job.work});
   }
 
-  std::pair<std::map<std::string, Job>::iterator, Attempt*> find_out(const std::string& id, int number) {
+  // The job of this id, and its attempt of this number; null where that is not outstanding.
+  std::pair<std::map<std::string, Job>::iterator, Attempt*> find_outstanding(const std::string& id,
+                                                                             int number) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end() || number < 0) return {found, nullptr};
     std::vector<Attempt>& attempts = found->second.attempts;
-    const auto place = static_cast<std::size_t>(number);
-    return {found, place < attempts.size() && attempts[place].out ? &attempts[place] : nullptr};
+    const auto index = static_cast<std::size_t>(number);
+    return {found, index < attempts.size() && attempts[index].outstanding ? &attempts[index] : nullptr};
   }
 
-  void on(const RequestGone& gone) {
+  void on_event(const RequestGone& gone) {
     const auto found = jobs_.find(gone.id);
     if (found == jobs_.end()) return;
     found->second.finished = true;
-    drop_if_over(found);
+    erase_if_over(found);
   }
 
-  void drop_if_over(std::map<std::string, Job>::iterator item) {
+  // Forgets a finished job, once none of its attempts is outstanding.
+  void erase_if_over(std::map<std::string, Job>::iterator item) {
     const auto& attempts = item->second.attempts;
     if (item->second.finished &&
-        std::none_of(attempts.begin(), attempts.end(), [](auto& a) { return a.out; }))
+        std::none_of(attempts.begin(), attempts.end(), [](auto& a) { return a.outstanding; }))
       jobs_.erase(item);
   }
 
-  static Health& health_of(Worker& worker, const Job& job) { return worker.health[job.request.class_index]; }
+  static ClassHealth& health_of(Worker& worker, const Job& job) {
+    return worker.class_health[job.request.class_index];
+  }
 
-  void on(const JobStarted& note) {
-    const auto [found, attempt] = find_out(note.id, note.attempt);
-    if (!attempt || attempt->began) return;
-    attempt->began = now_;
+  void on_event(const JobStarted& note) {
+    const auto [found, attempt] = find_outstanding(note.id, note.attempt);
+    if (!attempt || attempt->started_at) return;
+    attempt->started_at = now_;
     Worker& worker = workers_.at(attempt->worker);
-    health_of(worker, found->second).mute = false;
-    note_wait(worker, now_ - attempt->sent);
-    note_link(worker.entry.zone, true);
-    const Micros due = now_ - attempt->sent + scaled(found->second.work, pace_of(worker));
-    count_shared(worker, *attempt, due > found->second.threshold);
-    look_at_overtaken(worker, *attempt);
-    worker.running += found->second.request.slots;
-    worker.kind->cores = std::max(worker.kind->cores, worker.running);
-  }
-
-  // Workers start jobs in order: one sent earlier that has not started is stuck, as what is like it would be.
-  void look_at_overtaken(Worker& worker, const Attempt& by) {
+    health_of(worker, found->second).stalled = false;
+    record_wait(worker, now_ - attempt->sent_at);
+    record_connect(worker.entry.zone, true);
+    const Micros expected_latency = now_ - attempt->sent_at + scaled(found->second.work, slowdown_of(worker));
+    update_shared_limit(worker, *attempt, expected_latency > found->second.threshold);
+    handle_overtaken(worker, *attempt);
+    worker.slots_started += found->second.request.slots;
+    worker.kind->cores = std::max(worker.kind->cores, worker.slots_started);
+  }
+
+  // Workers start jobs in order. One that was sent earlier and has not started is stuck, as others of its
+  // class would be; it is moved where that is allowed.
+  void handle_overtaken(Worker& worker, const Attempt& overtaker) {
     for (auto& [id, job] : jobs_)
       for (std::size_t i = 0; i < job.attempts.size(); ++i) {
         const Attempt& attempt = job.attempts[i];
-        if (!attempt.out || attempt.began || attempt.worker != worker.entry.worker) continue;
-        if (attempt.sent + kOvertaken >= by.sent) continue;
-        health_of(worker, job).mute = true;
+        if (!attempt.outstanding || attempt.started_at || attempt.worker != worker.entry.worker) continue;
+        if (attempt.sent_at + kReorderTolerance >= overtaker.sent_at) continue;
+        health_of(worker, job).stalled = true;
         if (!may_move(job, worker)) continue;
-        moves_left_ -= 1;
+        move_budget_ -= 1;
         actions_->push_back(Cancel{id, static_cast<int>(i)});
       }
   }
 
-  void note_wait(Worker& worker, Micros seen) {
-    worker.wait = seconds_span((expected_wait(worker) + seconds(seen)) / 2);
-    worker.wait_at = now_;
-    if (!worker.cold_since) *worker.usual_wait += kSmoothing * (seconds(seen) - *worker.usual_wait);
+  // Updates the estimates of the worker's queue wait by one that was observed.
+  void record_wait(Worker& worker, Micros observed) {
+    worker.queue_wait = seconds_to_micros((expected_wait_s(worker) + seconds(observed)) / 2);
+    worker.queue_wait_at = now_;
+    if (!worker.cold_since) *worker.usual_wait_s += kEwmaWeight * (seconds(observed) - *worker.usual_wait_s);
   }
 
-  // A job that should have started is looked at again: its age is news, and it may yet be in time elsewhere.
+  // Timer "start N ID": attempt N of job ID should have started by now. If it has not, its age counts as
+  // queue wait, and it is cancelled where it may be in time elsewhere or an answer would be worth nothing.
   void check_start(const std::string& token) {
     const int number = std::stoi(token.substr(6));
-    const auto [found, attempt] = find_out(token.substr(token.find(' ', 6) + 1), number);
-    if (!attempt || attempt->began) return;
+    const auto [found, attempt] = find_outstanding(token.substr(token.find(' ', 6) + 1), number);
+    if (!attempt || attempt->started_at) return;
     const Job& job = found->second;
     Worker& worker = workers_.at(attempt->worker);
-    const Micros age = now_ - attempt->sent;
-    if (!health_of(worker, job).mute && seconds(age) > expected_wait(worker)) note_wait(worker, age);
+    const Micros age = now_ - attempt->sent_at;
+    if (!health_of(worker, job).stalled && seconds(age) > expected_wait_s(worker)) record_wait(worker, age);
     const bool move = may_move(job, worker);
-    if (move) moves_left_ -= 1;
-    if (move || (settings_.may_cancel && hopeless(job, worker)))
+    if (move) move_budget_ -= 1;
+    if (move || (settings_.may_cancel && is_not_worth_running(job, worker)))
       return actions_->push_back(Cancel{job.request.id, number});
-    const double left = slack(job, worker);
-    set_timer(token, left > 0 ? std::min(age, seconds_span(left) + settings_.tick) : age);
+    const double slack = slack_s(job, worker);
+    set_timer(token, slack > 0 ? std::min(age, seconds_to_micros(slack) + settings_.tick) : age);
   }
 
-  double slack(const Job& job, const Worker& worker) const {
-    const double since = seconds(now_ - job.deadline + job.request.time_left);
-    return seconds(job.threshold) - since - seconds(job.work) * pace_of(worker);
+  // How long the job may still wait at the worker to end within its threshold; negative when it will be late.
+  double slack_s(const Job& job, const Worker& worker) const {
+    const double elapsed_s = seconds(now_ - job.deadline + job.request.time_left);
+    return seconds(job.threshold) - elapsed_s - seconds(job.work) * slowdown_of(worker);
   }
 
-  // A job that can only be late holds up others in the queue: where that earns nothing, it is given up.
-  bool hopeless(const Job& job, const Worker& worker) const {
-    return class_of(job).late_worth <= 0 && slack(job, worker) <= 0;
+  // Whether the job can only end late and a late answer earns nothing: it would only delay others in the
+  // queue.
+  bool is_not_worth_running(const Job& job, const Worker& worker) const {
+    return class_of(job).late_worth <= 0 && slack_s(job, worker) <= 0;
   }
 
-  // Only where it would still be in time, and not too often; or to be answered at all, where workers hang.
+  // Whether the job may be cancelled and sent to another worker: within the move budget, and only where it
+  // would still be in time there. Where the worker is stalled, to be answered before the deadline is enough.
   bool may_move(const Job& job, const Worker& from) {
-    if (!settings_.may_cancel || class_of(job).effect != Effect::safe || job.finished || moves_left_ < 1 ||
-        !tries_left(job))
+    if (!settings_.may_cancel || class_of(job).effect != Effect::safe || job.finished || move_budget_ < 1 ||
+        !has_attempts_left(job))
       return false;
-    const bool late = slack(job, from) <= 0;
-    if (late && !from.health[job.request.class_index].mute) return false;
-    const Worker* other = pick(job);
+    const bool late = slack_s(job, from) <= 0;
+    if (late && !from.class_health[job.request.class_index].stalled) return false;
+    const Worker* other = pick_worker(job);
     if (!other) return false;
-    const double wait = expected_wait(*other);
-    return late ? wait + seconds(job.work) * pace_of(*other) < seconds(job.deadline - now_)
-                : wait <= slack(job, *other);
+    const double wait_s = expected_wait_s(*other);
+    return late ? wait_s + seconds(job.work) * slowdown_of(*other) < seconds(job.deadline - now_)
+                : wait_s <= slack_s(job, *other);
   }
 
-  // One of many sees few of its own jobs run at once: its workers have to tell how many cores a kind has.
-  void on(const ProbeResult& told) {
-    if (const auto known = workers_.find(told.worker); known != workers_.end())
-      hear(known->second, told.load.value_or(LoadReport{}));
+  // One of many dispatchers seldom has several jobs running at one worker, so its own jobs do not show how
+  // many cores a kind of worker has: load reports do.
+  void on_event(const ProbeResult& result) {
+    if (const auto known = workers_.find(result.worker); known != workers_.end())
+      record_load(known->second, result.load.value_or(LoadReport{}));
   }
 
-  void hear(Worker& worker, const LoadReport& load) {
-    if (load.held) worker.peers += kSmoothing * (std::max(0.0, *load.held - worker.jobs - 1) - worker.peers);
-    if (!load.free_slots || (load.held && *load.free_slots < 1)) return;  // held ones wait, too, when full
-    Kind& kind = *worker.kind;
-    // What it has at work is what it serves in a second times how long each takes.
-    const double served = load.served_per_s.value_or(0) * load.latency_s.value_or(0);
-    const double at_work = load.held.value_or(served - load.queue.value_or(0));
-    kind.told += (*load.free_slots + at_work - kind.told) / ++kind.reports;
-    kind.cores = std::max({kind.cores, *load.free_slots, kind.reports < kReports ? 1 : kind.told});
+  void record_load(Worker& worker, const LoadReport& load) {
+    if (load.held)
+      worker.peer_jobs +=
+          kEwmaWeight * (std::max(0.0, *load.held - worker.attempts_out - 1) - worker.peer_jobs);
+    if (!load.free_slots || (load.held && *load.free_slots < 1))
+      return;  // when full, `held` includes a queue
+    WorkerKind& kind = *worker.kind;
+    // Jobs in the worker are its throughput times their latency (Little's law).
+    const double in_worker = load.served_per_s.value_or(0) * load.latency_s.value_or(0);
+    const double running = load.held.value_or(in_worker - load.queue.value_or(0));
+    kind.reported_cores += (*load.free_slots + running - kind.reported_cores) / ++kind.report_count;
+    kind.cores = std::max(
+        {kind.cores, *load.free_slots, kind.report_count < kMinReportsForCores ? 1 : kind.reported_cores});
   }
 
-  void on(const Sharers& now) { sharers_ = std::max(now.processes, 1); }
+  void on_event(const Sharers& now) { processes_ = std::max(now.processes, 1); }
 
   template <class Unused>
-  void on(const Unused&) {}
+  void on_event(const Unused&) {}
 
-  void observe(Worker& worker, Job& job, Attempt& attempt, Status status, bool idle) {
+  // Updates limits, health and speed by how an attempt ended.
+  void record_outcome(Worker& worker, Job& job, Attempt& attempt, Status status, bool has_free_slot) {
     if (status == Status::full || status == Status::timeout || status == Status::connect_failed)
-      worker.limiter.timeout_seen = true;
+      worker.limiter.overload_seen = true;
     if (status == Status::connect_failed || status == Status::reset) worker.link_failures += 1;
-    if (status == Status::connect_failed) note_link(worker.entry.zone, false);
-    if (status == Status::full) count_shared(worker, attempt, true);
-    // A full worker has the least of our work and would draw every next job before one of its own can end.
-    if (status == Status::full) worker.full_until = now_ + scaled(seconds_span(mean_load_), spread());
-    if (status == Status::ok) return observe_ok(worker, job, attempt, idle);
+    if (status == Status::connect_failed) record_connect(worker.entry.zone, false);
+    if (status == Status::full) update_shared_limit(worker, attempt, true);
+    // A full worker has the least work of this dispatcher and would get every next job. It gets none for
+    // about as long as one of its jobs needs to end.
+    if (status == Status::full)
+      worker.full_until = now_ + scaled(seconds_to_micros(mean_slot_seconds_), jitter_factor());
+    if (status == Status::ok) return record_success(worker, job, attempt, has_free_slot);
     if (status == Status::full || status == Status::moot) return;
-    Health& health = health_of(worker, job);
-    if (status == Status::cancelled) return health.mute ? bar(worker, health) : void();
-    for (Health& one : worker.health) {
-      if (&one != &health && status != Status::connect_failed) continue;
-      one.failures += status == Status::timeout ? kFewestFailures : 1;
-      if (one.failures >= kFewestFailures || one.trial_left > 0) bar(worker, one);
+    ClassHealth& health = health_of(worker, job);
+    if (status == Status::cancelled) return health.stalled ? eject(worker, health) : void();
+    // A failed connect counts for all classes.
+    for (ClassHealth& each : worker.class_health) {
+      if (&each != &health && status != Status::connect_failed) continue;
+      each.consecutive_failures += status == Status::timeout ? kMinFailuresToEject : 1;
+      if (each.consecutive_failures >= kMinFailuresToEject || each.probation_successes_due > 0)
+        eject(worker, each);
     }
   }
 
-  // Connects that fail all over a zone are a zone that is lost. It comes back cold, before the list says so,
-  // and each of many dispatchers would try it with the few jobs that it has: so it gets turns from here on.
-  void note_link(const std::string& zone, bool up) {
-    const int silent = up ? std::exchange(silence_[zone], 0) : ++silence_[zone];
-    if (silent < kSilent) return;
+  // Connects that fail all over a zone mean that the zone is lost. It comes back cold before the list says
+  // so, and each of many dispatchers would try it with its few jobs: so its workers count as cold from now
+  // on.
+  void record_connect(const std::string& zone, bool succeeded) {
+    const int failures = succeeded ? std::exchange(connect_failures_[zone], 0) : ++connect_failures_[zone];
+    if (failures < kMinConnectFailuresForZone) return;
     for (auto& [name, worker] : workers_)
-      if (worker.entry.zone == zone) start_cold(worker, now_);
+      if (worker.entry.zone == zone) mark_cold(worker, now_);
   }
 
-  void observe_ok(Worker& worker, Job& job, Attempt& attempt, bool idle) {
-    const Micros latency = now_ - attempt.sent;
-    count(worker, attempt, ratio(latency, job.threshold), idle);
-    Micros& usual = class_work_[job.request.class_index];
-    usual = usual.count() == 0 ? latency : usual + scaled(latency - usual, kSmoothing);
+  void record_success(Worker& worker, Job& job, Attempt& attempt, bool has_free_slot) {
+    const Micros latency = now_ - attempt.sent_at;
+    record_latency(worker, attempt, ratio(latency, job.threshold), has_free_slot);
+    Micros& usual_latency = usual_class_latency_[job.request.class_index];
+    usual_latency =
+        usual_latency.count() == 0 ? latency : usual_latency + scaled(latency - usual_latency, kEwmaWeight);
     if (job.work.count() > 0) {
-      const double pace = ratio(now_ - attempt.began.value_or(attempt.sent), job.work);
-      for (double* mean : {&worker.pace, &worker.kind->pace})
-        *mean = *mean > 0 ? *mean + kSmoothing * (pace - *mean) : pace;
+      const double slowdown = ratio(now_ - attempt.started_at.value_or(attempt.sent_at), job.work);
+      for (double* mean : {&worker.slowdown, &worker.kind->slowdown})
+        *mean = *mean > 0 ? *mean + kEwmaWeight * (slowdown - *mean) : slowdown;
     }
-    // A run of broken connections that ends in an answer is most likely a restart the list has not told.
-    if (worker.link_failures > kFewestFailures && !worker.cold_since) start_cold(worker, now_);
+    // Several broken connections and then an answer: most likely a restart that the list has not told.
+    if (worker.link_failures > kMinFailuresToEject && !worker.cold_since) mark_cold(worker, now_);
     worker.link_failures = 0;
-    if (settings_.may_probe && !worker.cold_since && worker.kind->reports < kReports)
+    if (settings_.may_probe && !worker.cold_since && worker.kind->report_count < kMinReportsForCores)
       actions_->push_back(Probe{worker.entry.worker});
-    Health& health = health_of(worker, job);
-    health.failures = 0;
-    if (health.trial_left > 0 && --health.trial_left == 0) health.bars = 0;
+    ClassHealth& health = health_of(worker, job);
+    health.consecutive_failures = 0;
+    if (health.probation_successes_due > 0 && --health.probation_successes_due == 0) health.ejections = 0;
   }
 
   // Cold workers ----------------------------------------------------------------------------------------
 
-  void start_cold(Worker& worker, Micros since) {
+  // The worker (re)started at `since`: what was learnt of its speed and limit no longer holds.
+  void mark_cold(Worker& worker, Micros since) {
     if (settings_.cold_time.count() == 0 || now_ - since >= settings_.cold_time) return;
     worker.cold_since = since;
-    worker.limiter = {first_limit(), {}, false};
-    worker.pace = 0;
-    worker.wait = Micros{0};
-    worker.wait_at = now_;
-    worker.last_cycle = worker.next_cycle = -1;
+    worker.limiter = {initial_limit_slots(), {}, false};
+    worker.slowdown = 0;
+    worker.queue_wait = Micros{0};
+    worker.queue_wait_at = now_;
+    worker.used_cycle = worker.current_cycle = -1;
   }
 
+  // Share of its capacity that a cold worker has now.
   double warm_share(const Worker& worker) const {
     const double age = seconds(now_ - *worker.cold_since) / seconds(settings_.cold_time);
     return settings_.start_capacity + (1 - settings_.start_capacity) * std::clamp(age, 0.0, 1.0);
   }
 
-  // The dispatchers take turns at a cold worker, evenly spaced in their order, and one turn is one job:
-  // shares drawn by lot kept the mean but not the sum.
-  bool cold_turn(Worker& worker, const Job& job) {
+  // Whether this dispatcher may send the job to a cold worker now. The dispatchers take turns there, evenly
+  // spaced in a fixed order, and a turn is one job: shares drawn at random kept the mean load but not the
+  // sum.
+  bool has_cold_turn(Worker& worker, const Job& job) {
     if (now_ - *worker.cold_since >= settings_.cold_time) return worker.cold_since.reset(), true;
-    if (mean_load_ <= 0) return false;
-    // Jobs in a span, by what it has for certain: the cores that its kind has shown, at its share.
-    const double whole = kTurnMargin * settings_.fall_multiple * seconds(settings_.fall_after) *
-                         worker.kind->cores / (mean_load_ * usual_pace(worker) * sharers_);
-    const double jobs = std::max(1.0, whole * warm_share(worker));
-    if (load_of(job) > mean_load_ * std::sqrt(jobs)) return false;
-    const double age = seconds(now_ - *worker.cold_since);
+    if (mean_slot_seconds_ <= 0) return false;
+    // Jobs that it can bear in a span of fall_after when warm, by the cores that its kind surely has.
+    const double warm_jobs = kColdLoadFraction * settings_.fall_multiple * seconds(settings_.fall_after) *
+                             worker.kind->cores / (mean_slot_seconds_ * usual_slowdown(worker) * processes_);
+    const double jobs = std::max(1.0, warm_jobs * warm_share(worker));
+    if (slot_seconds(job) > mean_slot_seconds_ * std::sqrt(jobs)) return false;
+    const double age_s = seconds(now_ - *worker.cold_since);
     const double spans =
-        age * (settings_.start_capacity + warm_share(worker)) / 2 / seconds(settings_.fall_after);
+        age_s * (settings_.start_capacity + warm_share(worker)) / 2 / seconds(settings_.fall_after);
     const double turn =
-        spans * whole - place_in_turn(worker.entry.worker, settings_.number, settings_.dispatchers);
+        spans * warm_jobs - place_in_turn_order(worker.entry.worker, settings_.number, settings_.dispatchers);
     const double cycle = std::floor(turn / settings_.dispatchers);
     if (turn < 0 || turn - cycle * settings_.dispatchers > jobs) return false;
-    return worker.last_cycle != cycle ? worker.next_cycle = cycle, true : false;
+    return worker.used_cycle != cycle ? worker.current_cycle = cycle, true : false;
   }
 
-  static double load_of(const Job& job) { return seconds(job.work) * job.request.slots; }
+  static double slot_seconds(const Job& job) { return seconds(job.work) * job.request.slots; }
 
-  // One that fails looks idle, so least work would feed it: it is left alone, longer each time, then tried.
-  void bar(const Worker& worker, Health& health) {
-    if (now_ < health.barred_until) return;
-    health.bars = std::min(health.bars + 1, kMostBars);
-    health.barred_until = now_ + scaled(kFirstBar, spread() * (1 << (health.bars - 1)));
-    health.trial_left = 1 << health.bars;
-    if (health.bars == 2)
+  // Ejects the worker for a class, for longer each time, and puts it on probation after that. A worker that
+  // fails looks idle, so that least outstanding work would send ever more to it.
+  void eject(const Worker& worker, ClassHealth& health) {
+    if (now_ < health.ejected_until) return;
+    health.ejections = std::min(health.ejections + 1, kMaxCountedEjections);
+    health.ejected_until = now_ + scaled(kFirstEjectionTime, jitter_factor() * (1 << (health.ejections - 1)));
+    health.probation_successes_due = 1 << health.ejections;
+    if (health.ejections == 2)
       actions_->push_back(Log{"worker " + worker.entry.worker + " keeps failing: backed off"});
   }
 
-  // When most workers look bad at once the cause is not theirs, and the fleet is used all the same.
-  bool nearly_all_barred(const Job& job) const {
+  // Whether most ready workers are ejected or stalled for the job's class. Then the cause does not lie with
+  // them, and they are used all the same.
+  bool most_are_ejected(const Job& job) const {
     int balance = 0;
     for (const auto& [name, worker] : workers_) {
-      const Health& health = worker.health[job.request.class_index];
+      const ClassHealth& health = worker.class_health[job.request.class_index];
       if (worker.entry.state == WorkerState::ready)
-        balance += health.mute || now_ < health.barred_until ? 1 : -1;
+        balance += health.stalled || now_ < health.ejected_until ? 1 : -1;
     }
     return balance > 0;
   }
 
-  void on(const TimerFired& timer) {
+  void on_event(const TimerFired& timer) {
     if (timer.token.starts_with("start ")) check_start(timer.token);
     if (timer.token == "limits") update_limits();
-    if (timer.token == "ask" && !subscription_.is_subscribed() && now_ >= ask_at_) ask_for_list();
+    if (timer.token == "ask" && !subscription_.is_subscribed() && now_ >= subscribe_at_) subscribe();
   }
 
   void set_timer(const std::string& token, Micros wait) {
     actions_->push_back(SetTimer{token, now_ + std::max(wait, settings_.tick)});
   }
 
-  double slots_out(bool thin_only) const {
+  // Slots of this dispatcher's outstanding attempts, at all workers or at those under the shared limit.
+  double slots_out(bool sparse_only) const {
     double sum = 0;
-    for (const auto& [name, worker] : workers_) sum += is_thin(worker) || !thin_only ? worker.slots : 0;
+    for (const auto& [name, worker] : workers_)
+      sum += is_sparse(worker) || !sparse_only ? worker.slots_out : 0;
     return sum;
   }
 
@@ -686,28 +807,29 @@
   double uniform(double from, double to) {
     return from + (to - from) * static_cast<double>(random_() >> 11) * 0x1p-53;
   }
-  double spread() { return uniform(1 - kJitter, 1 + kJitter); }
+  double jitter_factor() { return uniform(1 - kJitterFraction, 1 + kJitterFraction); }
 
   Settings settings_;
   std::mt19937_64 random_;
-  Micros now_{0}, ask_at_{0};
+  Micros now_{0}, subscribe_at_{0};
   std::vector<Action>* actions_ = nullptr;
   ListSubscription subscription_;
-  bool started_ = false;
-  int sharers_ = 1;  // processes that take our turns at cold workers
+  bool timers_started_ = false;
+  int processes_ = 1;  // of this dispatcher, which share its turns at cold workers
   std::map<std::string, Worker> workers_;
-  std::map<std::string, Ban> bans_;  // by worker
+  std::map<std::string, Exclusion> exclusions_;  // by worker
   std::map<std::string, Job> jobs_;
-  std::vector<Micros> class_work_;  // usual latency of each class, for jobs without a hint
-  double moves_left_ = 0, least_limit_ = kMinLimit;
-  double shared_limit_ = kMaxLimit, shared_used_ = 0;  // used: a peak that fades
-  double least_worth_ = std::numeric_limits<double>::infinity();
-  double shared_slots_ = 0;  // slots out under it, as of the last pick
-  // Of workers alike, for those we know little of.
-  std::map<std::pair<std::string, std::string>, double> usual_wait_;
-  std::map<std::string, Kind> kinds_;
-  std::map<std::string, int> silence_;  // connects that failed in a zone since a job last started there
-  double mean_load_ = 0;                // seconds of hinted work times slots in a usual job
+  std::vector<Micros> usual_class_latency_;  // the expected work of jobs without a hint
+  double move_budget_ = 0, min_limit_slots_ = kMinLimitSlots;
+  // One limit for all workers with sparse samples, and the decaying peak of its use.
+  double shared_limit_slots_ = kMaxLimitSlots, shared_peak_slots_ = 0;
+  double min_class_worth_ = std::numeric_limits<double>::infinity();
+  double sparse_slots_out_ = 0;  // slots out under the shared limit, as of the last pick_worker()
+  // What holds for similar workers, for those with few observations of their own.
+  std::map<std::pair<std::string, std::string>, double> usual_wait_s_;  // by zone and kind
+  std::map<std::string, WorkerKind> kinds_;
+  std::map<std::string, int> connect_failures_;  // by zone, since a job last started there
+  double mean_slot_seconds_ = 0;                 // expected work times slots of a job, as a moving average
 };
 
 Dispatcher::Dispatcher(Settings settings, std::uint64_t seed)
@@ -717,13 +839,13 @@
 Dispatcher& Dispatcher::operator=(Dispatcher&&) noexcept = default;
 
 void Dispatcher::handle(Micros now, const Event& event, std::vector<Action>& actions) {
-  state_->begin(now, actions);
-  std::visit([this](const auto& happened) { state_->on(happened); }, event);
+  state_->begin_event(now, actions);
+  std::visit([this](const auto& happened) { state_->on_event(happened); }, event);
 }
 
 bool Dispatcher::knows(const std::string& worker) const { return state_->knows(worker); }
 
-Census Dispatcher::census(Micros now) const { return state_->census(now); }
+Census Dispatcher::census(Micros now) const { return state_->worker_counts(now); }
 
 double Dispatcher::slots_out() const { return state_->slots_out(false); }
 
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,4 +1,4 @@
-// Refuses settings that cannot be right; nothing is decided here.
+// Validates the settings of the dispatcher module.
 #include <stdexcept>
 
 #include "woadtide/balance.hpp"
@@ -6,8 +6,8 @@
 namespace woadtide {
 
 void check(const Settings& settings) {
-  const auto require = [](bool holds, const char* setting) {
-    if (!holds) throw std::invalid_argument(std::string("settings: ") + setting + " cannot be right");
+  const auto require = [](bool valid, const char* setting) {
+    if (!valid) throw std::invalid_argument(std::string("settings: ") + setting + " is out of range");
   };
   require(settings.dispatchers >= 1, "dispatchers");
   require(!settings.classes.empty(), "classes");
@@ -17,11 +17,11 @@
   require(settings.cold_time.count() >= 0, "cold_time");
   require(settings.must_ask_within.count() >= 0, "must_ask_within");
   require(settings.list_binds_after.count() >= 0, "list_binds_after");
-  for (const ClassSettings& kind : settings.classes) {
-    require(kind.deadline.count() > 0, "class deadline");
-    require(!kind.aim || kind.aim->count() >= 0, "class aim");
-    require(kind.stretch >= 0, "class stretch");
-    require(kind.window.count() >= 0, "class window");
+  for (const ClassSettings& job_class : settings.classes) {
+    require(job_class.deadline.count() > 0, "class deadline");
+    require(!job_class.aim || job_class.aim->count() >= 0, "class aim");
+    require(job_class.stretch >= 0, "class stretch");
+    require(job_class.window.count() >= 0, "class window");
   }
 }
 
