--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,3 +1,4 @@
+// Serves the line protocol of wire.hpp on standard input and output.
 #include <iostream>
 
 #include "wire.hpp"
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the line protocol of woadtide_wirehost.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -18,8 +19,8 @@
   "Invariants":{"ColdUs":20000000,"StartCapacity":0.2,"MustAskInUs":10000000,
                 "FallMultiple":2.5,"TipAfterUs":1000000}})";
 
-std::string batch(std::int64_t at, const std::vector<std::string>& messages) {
-  std::string line = R"({"ClockUs":)" + std::to_string(at) + R"(,"msgs":[)";
+std::string batch(std::int64_t clock_us, const std::vector<std::string>& messages) {
+  std::string line = R"({"ClockUs":)" + std::to_string(clock_us) + R"(,"msgs":[)";
   for (std::size_t i = 0; i < messages.size(); ++i) line += (i ? "," : "") + messages[i];
   line += "]}";
   std::erase(line, '\n');
@@ -38,54 +39,55 @@
          R"(","Width":1,"Subject":null,)" + R"("WeightHintUs":1000,"RamUnits":null,"Band":")" + band +
          R"(","ExpiresInUs":4000000,"Tenant":null})";
 }
-std::vector<json> acts(Host& host, const std::string& line, const char* op) {
+// The actions with this op in the reply to `line`.
+std::vector<json> actions_of(InstanceHost& host, const std::string& line, const char* op) {
   std::vector<json> found;
-  const json reply = json::parse(host.answer(line));
+  const json reply = json::parse(host.process_line(line));
   for (const json& action : reply.at("outbox"))
     if (action.at("op") == op) found.push_back(action);
   return found;
 }
 
-TEST(Wire, EmptyBatch) {
-  Host host;
-  EXPECT_EQ(host.answer(R"({"ClockUs":1,"msgs":[]})"), R"({"outbox":[]})");
+TEST(Wire, EmptyBatchGetsEmptyReply) {
+  InstanceHost host;
+  EXPECT_EQ(host.process_line(R"({"ClockUs":1,"msgs":[]})"), R"({"outbox":[]})");
 }
 
-TEST(Wire, AWholeLife) {
-  Host host;
-  const auto tracked = acts(host, batch(1000, {spawn(3), topology(3)}), "Track");
+TEST(Wire, InstanceSubscribesSendsAndFails) {
+  InstanceHost host;
+  const auto tracked = actions_of(host, batch(1000, {spawn(3), topology(3)}), "Track");
   ASSERT_EQ(tracked.size(), 1u);
   EXPECT_EQ(tracked[0], json::parse(R"({"op":"Track","Who":3,"Active":true})"));
-  const auto issued = acts(host, batch(2000, {call(3, "00ff", "u")}), "Issue");
+  const auto issued = actions_of(host, batch(2000, {call(3, "00ff", "u")}), "Issue");
   ASSERT_EQ(issued.size(), 1u);
   EXPECT_EQ(issued[0], json::parse(R"({"op":"Issue","Who":3,"Ref":"00ff","Runner":"w"})"));
   const std::string error = R"({"op":"Verdict","Who":3,"Ref":"00ff","Hop":0,"Runner":"w","Outcome":20,
     "LatencyUs":5,"Settled":false,"Detail":null,"Load":{"waiting":2,"x0":1,"zz":"?"}})";
-  const auto failed = acts(host, batch(4000, {error}), "Surrender");
+  const auto failed = actions_of(host, batch(4000, {error}), "Surrender");
   ASSERT_EQ(failed.size(), 1u);
   EXPECT_EQ(failed[0], json::parse(R"({"op":"Surrender","Who":3,"Ref":"00ff"})"));
 }
 
-TEST(Wire, RefusalCarriesAHoldOffWithinTheLimit) {
-  Host host;
-  host.answer(batch(1000, {spawn(1)}));
-  const auto declined = acts(host, batch(2000, {call(1, "aa")}), "Decline");
+TEST(Wire, RefusalCarriesRetryDelayWithinLimit) {
+  InstanceHost host;
+  host.process_line(batch(1000, {spawn(1)}));
+  const auto declined = actions_of(host, batch(2000, {call(1, "aa")}), "Decline");
   ASSERT_EQ(declined.size(), 1u);
   EXPECT_GT(declined[0].at("HoldOffUs"), 0);
   EXPECT_LE(declined[0].at("HoldOffUs"), 900000);
 }
 
-TEST(Wire, InstancesShareNothing) {
-  Host together, alone;
+TEST(Wire, InstancesAreIndependent) {
+  InstanceHost together, alone;
   const std::string both =
-      together.answer(batch(1000, {spawn(1), topology(1, "w"), spawn(2), topology(2, "v")}));
-  const std::string one = alone.answer(batch(1000, {spawn(2), topology(2, "v")}));
-  EXPECT_NE(both.find(one.substr(11, one.size() - 13)), std::string::npos);
-  EXPECT_EQ(acts(together, batch(2000, {call(2, "aa")}), "Issue"),
-            acts(alone, batch(2000, {call(2, "aa")}), "Issue"));
+      together.process_line(batch(1000, {spawn(1), topology(1, "w"), spawn(2), topology(2, "v")}));
+  const std::string single = alone.process_line(batch(1000, {spawn(2), topology(2, "v")}));
+  EXPECT_NE(both.find(single.substr(11, single.size() - 13)), std::string::npos);
+  EXPECT_EQ(actions_of(together, batch(2000, {call(2, "aa")}), "Issue"),
+            actions_of(alone, batch(2000, {call(2, "aa")}), "Issue"));
 }
 
-TEST(Wire, NumberAndLateWorthReachTheModule) {
+TEST(Wire, NumberAndLateWorthAreReadFromSettings) {
   json boot = json::parse(kBoot);
   boot["MyNumber"] = 1;
   boot["Categories"][0]["LateWorth"] = 0.25;
@@ -93,27 +95,27 @@
   const Settings settings = read_settings(boot, names);
   EXPECT_EQ(settings.number, 1);
   EXPECT_EQ(settings.classes[0].late_worth, 0.25);
-  EXPECT_EQ(settings.classes[1].late_worth, 1) << "not told: late answers are not given up";
+  EXPECT_EQ(settings.classes[1].late_worth, 1) << "absent: late answers keep their worth";
 }
 
-TEST(Wire, AfterExitNothingIsLeft) {
-  Host host;
-  host.answer(batch(1000, {spawn(1), topology(1)}));
-  host.answer(batch(2000, {R"({"op":"Exit","Who":1})"}));
-  EXPECT_EQ(host.answer(batch(3000, {call(1, "aa")})), R"({"outbox":[]})");
-  EXPECT_EQ(acts(host, batch(4000, {spawn(1), call(1, "bb")}), "Decline").size(), 1u);
+TEST(Wire, ExitRemovesInstance) {
+  InstanceHost host;
+  host.process_line(batch(1000, {spawn(1), topology(1)}));
+  host.process_line(batch(2000, {R"({"op":"Exit","Who":1})"}));
+  EXPECT_EQ(host.process_line(batch(3000, {call(1, "aa")})), R"({"outbox":[]})");
+  EXPECT_EQ(actions_of(host, batch(4000, {spawn(1), call(1, "bb")}), "Decline").size(), 1u);
 }
 
-TEST(Wire, UnknownOpsAndFieldsAreSkipped) {
-  Host host;
-  host.answer(batch(1000, {spawn(1), topology(1)}));
-  EXPECT_EQ(host.answer(batch(2000, {R"({"op":"Novel","Who":1,"x":[1]})", R"({"op":"Newer"})"})),
+TEST(Wire, UnknownOpsAndFieldsAreIgnored) {
+  InstanceHost host;
+  host.process_line(batch(1000, {spawn(1), topology(1)}));
+  EXPECT_EQ(host.process_line(batch(2000, {R"({"op":"Novel","Who":1,"x":[1]})", R"({"op":"Newer"})"})),
             R"({"outbox":[]})");
 }
 
-TEST(Wire, SettingsThatCannotBeRightBecomeAFault) {
-  Host host;
-  const auto faults = acts(
+TEST(Wire, InvalidSettingsAreReportedAsFault) {
+  InstanceHost host;
+  const auto faults = actions_of(
       host, batch(1000, {R"({"op":"Spawn","Who":4,"Entropy":1,"BootInfo":{"Balancers":0,"Categories":[]}})"}),
       "Fault");
   ASSERT_EQ(faults.size(), 1u);
@@ -123,9 +125,9 @@
 
 struct BadLine {
   const char* line;
-  const char* told;
+  const char* expected_error;
 };
-TEST(Serve, MalformedLinesAreToldWithLineAndField) {
+TEST(Serve, MalformedLineErrorNamesLineAndField) {
   const BadLine cases[] = {
       {"{", "not JSON"},
       {"[]", "not a JSON object"},
@@ -143,17 +145,17 @@
     EXPECT_EQ(serve(in, out, err), 1) << bad.line;
     EXPECT_EQ(out.str(), "{\"outbox\":[]}\n");
     EXPECT_NE(err.str().find("line 2: "), std::string::npos) << err.str();
-    EXPECT_NE(err.str().find(bad.told), std::string::npos) << err.str();
+    EXPECT_NE(err.str().find(bad.expected_error), std::string::npos) << err.str();
   }
 }
-TEST(Serve, AWrongTypeInsideAMessageIsTold) {
+TEST(Serve, WrongTypeInMessageIsReported) {
   std::istringstream in(batch(1, {spawn(1)}) + "\n" + batch(2, {R"({"op":"Call","Who":1,"Ref":5})"}) + "\n");
   std::ostringstream out, err;
   EXPECT_EQ(serve(in, out, err), 1);
-  EXPECT_NE(err.str().find("line 2: field 'Ref': text wanted"), std::string::npos) << err.str();
+  EXPECT_NE(err.str().find("line 2: field 'Ref': text expected"), std::string::npos) << err.str();
 }
 
-TEST(Serve, SameLinesSameReplies) {
+TEST(Serve, SameInputGivesSameReplies) {
   std::string lines = batch(1, {spawn(1), topology(1), spawn(2), topology(2)}) + "\n";
   for (int i = 0; i < 50; ++i)
     lines += batch(2000 + i * 1000, {call(1 + i % 2, std::to_string(i).c_str())}) + "\n";
