--- a/include/woadtide/balance.hpp
+++ b/include/woadtide/balance.hpp
@@ -96,8 +96,8 @@
 struct ListUpdate {
   ListKind kind = ListKind::full;
   std::vector<ListEntry> entries;
-  // For remembered, interrupted and failed: the last time at which discovery surely had nothing newer to
-  // tell, as it was received or was down. Absent: nothing new is known.
+  // For remembered, interrupted and failed: the last time at which discovery surely had no newer list, as
+  // this one had just been received or discovery was down. Absent: nothing new is known.
   std::optional<Micros> as_of = {};
 };
 
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -75,7 +75,7 @@
   Micros ejected_until{0};
   int ejections = 0;                // in a row
   int probation_successes_due = 0;  // successes that it still needs to be trusted again
-  bool stalled = false;             // a job of ours did not start although it should have
+  bool stalled = false;             // a job of this dispatcher did not start when it should have
 };
 
 // An attempt that is no longer awaited but still holds a slot of its worker: a cancellation or a time-out
@@ -88,8 +88,7 @@
   ListEntry entry;
   WorkerKind* kind = nullptr;
   double* usual_wait_s = nullptr;  // queue wait usual for its kind in its zone
-  // Outstanding attempts of this dispatcher: their number, their slots, those of the started ones, their
-  // work.
+  // Outstanding attempts of this dispatcher: number, slots, slots of those that have started, work.
   int attempts_out = 0;
   double slots_out = 0, slots_started = 0;
   Micros work_out{0};
@@ -146,7 +145,7 @@
     for (const ClassSettings& job_class : settings_.classes)
       min_class_worth_ = std::min(min_class_worth_, job_class.worth);
     usual_class_latency_.assign(settings_.classes.size(), Micros{0});
-    // Where workers do not tell starts, an answer may be late by its own running time alone. A limit then
+    // Where workers do not report starts, an answer may be late by its own running time alone. A limit then
     // does not fall below this dispatcher's share of the initial one.
     if (!settings_.tells_start)
       min_limit_slots_ = std::max(kMinLimitSlots, kInitialLimitSlotsOfAll / settings_.dispatchers);
@@ -259,7 +258,8 @@
   // AIMD concurrency limits, over this dispatcher's own slots and latencies at each worker ----------------
 
   void update_limits() {
-    // An outstanding attempt that is past its threshold counts as slow now: its end would tell too late.
+    // An outstanding attempt that is past its threshold counts as slow now: to wait for its end would be too
+    // late.
     for (auto& [id, job] : jobs_)
       for (Attempt& attempt : job.attempts)
         if (const Micros age = now_ - attempt.sent_at; attempt.outstanding && age > job.threshold)
@@ -710,7 +710,7 @@
       for (double* mean : {&worker.slowdown, &worker.kind->slowdown})
         *mean = *mean > 0 ? *mean + kEwmaWeight * (slowdown - *mean) : slowdown;
     }
-    // Several broken connections and then an answer: most likely a restart that the list has not told.
+    // Several broken connections and then an answer: most likely a restart that the list does not show.
     if (worker.link_failures > kMinFailuresToEject && !worker.cold_since) mark_cold(worker, now_);
     worker.link_failures = 0;
     if (settings_.may_probe && !worker.cold_since && worker.kind->report_count < kMinReportsForCores)
