--- a/src/core/decision_loop.hpp
+++ b/src/core/decision_loop.hpp
@@ -1,5 +1,6 @@
-// Owns the decision module and all that it knows of queries and timers. One thread runs it; everything else
-// reaches it through the Inbox. It knows no protocol, and decides nothing that the module decides.
+// Event loop around the decision module (woadtide::Dispatcher). Owns the module, the open queries and the
+// timers. A single thread runs it; all other threads reach it through the Inbox. It is independent of the
+// wire protocol and makes no scheduling decision of its own.
 #pragma once
 
 #include <array>
@@ -20,112 +21,121 @@
 
 namespace woadtide::core {
 
+// Feeds messages and timers to the decision module as events and carries out the actions that it returns.
+// Every query is answered exactly once, and the outcome of every execution reaches the module exactly once.
 class DecisionLoop {
  public:
+  // `class_names` are in the order of `settings.classes`; `seed` seeds the module's random numbers. The
+  // references, and `observer` where it is given, must outlive the loop.
   DecisionLoop(woadtide::Settings settings, std::vector<std::string> class_names, std::uint64_t seed,
-               Clock& clock, Inbox& inbox, Executor& executor, HostSource& hosts, Kin& kin,
-               Witness* witness = nullptr);
+               Clock& clock, Inbox& inbox, Executor& executor, HostSource& endpoint_source, Kin& sibling,
+               Witness* observer = nullptr);
 
-  // Handles all that has come and all that is due. Returns how many ms from now the next timer is due.
+  // Handles all queued messages, then all due timers. Returns the time in ms until the next timer is due, at
+  // most the interval of the log's counts. Logs exceptions instead of letting them out.
   double step();
 
  private:
-  struct Running {
-    double sent = 0;
-    bool out = true;  // its ending is still to come
+  struct ExecutionState {
+    double sent_at = 0;
+    bool pending = true;  // its ending has not been handled yet
   };
-  struct Open {                    // a query that is not over: not settled, or with executions out
-    std::shared_ptr<Asker> asker;  // empty once settled
-    Parcel parcel;
+  struct OpenQuery {                        // a query that is unanswered, or has pending executions
+    std::shared_ptr<Asker> reply_callback;  // empty once the query is settled
+    Parcel payload;
     std::size_t class_index = 0;
     double deadline = 0;
-    double taken = 0, wanted_by = 0;  // wanted_by: served later it counts as late
-    std::vector<Running> executions;
-    bool may_have_run = false;
+    double received_at = 0, target_time = 0;  // an answer after target_time counts as late
+    std::vector<ExecutionState> executions;
+    bool may_have_run = false;  // an execution ended in a way that does not prove that it never ran
   };
   struct Timer {
-    std::string name;  // the module's token, or a query's id
-    int attempt = kToken;
+    std::string name;  // the module's timer token, or a query's id
+    int attempt = kModuleTimer;
   };
-  static constexpr int kToken = -2, kWholeQuery = -1;  // Timer::attempt, where it is no attempt
-  struct Counts {
-    std::array<int, 5> answers{};  // by AnswerKind
-    int queries = 0, executions = 0, failures = 0, gone = 0;
+  static constexpr int kModuleTimer = -2, kQueryDeadline = -1;  // special values of Timer::attempt
+  struct IntervalCounts {                                       // since the last line of counts in the log
+    std::array<int, 5> answers{};                               // by AnswerKind
+    int queries = 0, executions = 0, failed_executions = 0, client_disconnects = 0;
   };
-  struct Totals {  // of a class, since the start
+  struct ClassTotals {  // of one class, since the process started
     std::uint64_t forwards = 0;
-    ClassFigures figures;
+    ClassFigures stats;
   };
-  using Queries = std::map<std::string, Open>;
-  // Ids of queries that are over and may have run, the newest of them.
-  class Spent {
+  using Queries = std::map<std::string, OpenQuery>;
+  // The most recent ids of finished queries that may have run; a repeat of one is rejected.
+  class ReplayCache {
    public:
     bool contains(const std::string& id) const { return ids_.contains(id); }
     void add(const std::string& id);
-    const std::deque<std::string>& all() const { return oldest_first_; }
+    const std::deque<std::string>& ids_oldest_first() const { return oldest_first_; }
 
    private:
-    static constexpr std::size_t kMost = 8192;  // minutes of the busiest traffic, some 1 MB
+    static constexpr std::size_t kMaxIds = 8192;  // several minutes of peak traffic, about 1 MB
     std::unordered_set<std::string> ids_;
     std::deque<std::string> oldest_first_;
   };
 
-  void take(QueryArrived& message);
-  void take(ClientGone& message);
-  void take(ExecutionSent& message);
-  void take(ExecutionStarted& message);
-  void take(ExecutionProgress& message);
-  void take(ExecutionEnded& message);
-  void take(ProbeEnded& message);
-  void take(ListTold& message);
-  void take(KinJoined& message);
-  void take(KinSaid& message);
-  void take(Sharers& message);
-  void take(OperatorCall& message);
-  void take(FinishAll& message);
+  void handle(QueryArrived& message);
+  void handle(ClientGone& message);
+  void handle(ExecutionSent& message);
+  void handle(ExecutionStarted& message);
+  void handle(ExecutionProgress& message);
+  void handle(ExecutionEnded& message);
+  void handle(ProbeEnded& message);
+  void handle(ListTold& message);
+  void handle(KinJoined& message);
+  void handle(KinSaid& message);
+  void handle(Sharers& message);
+  void handle(OperatorCall& message);
+  void handle(FinishAll& message);
 
-  void act(const woadtide::Send& action);
-  void act(const woadtide::Refuse& action);
-  void act(const woadtide::Fail& action);
-  void act(const woadtide::Cancel& action);
-  void act(const woadtide::Probe& action);
-  void act(const woadtide::Watch& action);
-  void act(const woadtide::SetTimer& action);
-  void act(const woadtide::Log& action);
+  void carry_out(const woadtide::Send& action);
+  void carry_out(const woadtide::Refuse& action);
+  void carry_out(const woadtide::Fail& action);
+  void carry_out(const woadtide::Cancel& action);
+  void carry_out(const woadtide::Probe& action);
+  void carry_out(const woadtide::Watch& action);
+  void carry_out(const woadtide::SetTimer& action);
+  void carry_out(const woadtide::Log& action);
 
   void exclude(const std::string& worker, bool excluded);
-  const char* wrong_with(const Query& query, bool class_known) const;
-  void feed(const woadtide::Event& event);
+  // Returns why the query must be rejected, or nullptr.
+  const char* find_rejection_reason(const Query& query, bool class_known) const;
+  void feed_module(const woadtide::Event& event);
+  // Answers the client, unless that has been done or the client is gone.
   void settle(Queries::value_type& query, Answer answer);
-  std::shared_ptr<Asker> let_go(Queries::value_type& query);
-  bool is_out(const ExecutionKey& key) const;
-  void end(const ExecutionKey& key, woadtide::Status status, const std::string& report);
-  void time_out(const ExecutionKey& key);
-  void on_deadline(const std::string& id);
-  void drop_if_over(const std::string& id);
-  void guarded(const std::function<void()>& work);
-  void fire_due();
-  void report_counts();
-  std::string telemetry() const;
-  std::string figures() const;
+  // Detaches the client from the query and withdraws its pending executions. Returns the client's callback,
+  // or nullptr where it was detached before.
+  std::shared_ptr<Asker> release_client(Queries::value_type& query);
+  bool is_pending(const ExecutionKey& key) const;
+  void finish_execution(const ExecutionKey& key, woadtide::Status status, const std::string& load_report);
+  void time_out_execution(const ExecutionKey& key);
+  void on_query_deadline(const std::string& id);
+  void erase_if_finished(const std::string& id);
+  void run_logging_exceptions(const std::function<void()>& task);
+  void fire_due_timers();
+  void log_interval_counts();
+  std::string telemetry_reply() const;
+  std::string stats_reply() const;
 
   std::vector<std::string> class_names_;
-  std::vector<woadtide::ClassSettings> classes_;
-  std::string report_x0_, report_x1_;
-  woadtide::Dispatcher dispatcher_;
+  std::vector<woadtide::ClassSettings> class_settings_;
+  std::string report_x0_meaning_, report_x1_meaning_;
+  woadtide::Dispatcher module_;
   Clock& clock_;
   Inbox& inbox_;
   Executor& executor_;
-  HostSource& hosts_;
-  Kin& kin_;
-  Witness* const witness_;  // may be none
-  Queries queries_;
-  Spent spent_;
-  std::multimap<double, Timer> timers_;
-  std::set<std::string> excluded_;  // workers, to be told to the next process
-  Counts counts_;                   // for the log, which begins anew with each line
-  std::vector<Totals> totals_;      // by class
-  double counted_since_;
+  HostSource& endpoint_source_;
+  Kin& sibling_;
+  Witness* const observer_;  // may be null
+  Queries open_queries_;
+  ReplayCache replay_cache_;
+  std::multimap<double, Timer> timers_by_time_;
+  std::set<std::string> excluded_workers_;  // by an operator; a new sibling process is told of them
+  IntervalCounts interval_counts_;
+  std::vector<ClassTotals> class_totals_;  // by class index
+  double interval_start_;
 };
 
 }  // namespace woadtide::core
