--- a/src/park/crew.cpp
+++ b/src/park/crew.cpp
@@ -9,73 +9,75 @@
 
 Crew::Crew(Limits limits, Start start)
     : limits_(limits),
-      start_(start ? std::move(start) : [](const std::string& name, std::function<void()> body) {
+      thread_factory_(start ? std::move(start) : [](const std::string& name, std::function<void()> body) {
         return Thread(name, std::move(body));
       }) {}
 
 Crew::~Crew() {
   std::unique_lock lock(mutex_);
   stopping_ = true;
-  for (const auto& hand : resting_) hand->wake.notify_one();
-  ended_.wait(lock, [this] {
-    return std::all_of(hands_.begin(), hands_.end(), [](const auto& hand) { return hand->over; });
+  for (const auto& thread : idle_) thread->wake.notify_one();
+  thread_ended_.wait(lock, [this] {
+    return std::all_of(threads_.begin(), threads_.end(), [](const auto& thread) { return thread->ended; });
   });
 }
 
 bool Crew::take(std::function<void()> job, bool urgent) {
   std::unique_lock lock(mutex_);
   if (stopping_) return false;
-  if (!resting_.empty()) {
-    const auto hand = std::move(resting_.back());
-    resting_.pop_back();
-    hand->job = std::move(job);
-    lock.unlock();  // it would wake only to wait for the mutex
-    hand->wake.notify_one();
+  if (!idle_.empty()) {
+    const auto pool_thread = std::move(idle_.back());
+    idle_.pop_back();
+    pool_thread->job = std::move(job);
+    lock.unlock();  // otherwise the thread would wake up only to wait for the mutex
+    pool_thread->wake.notify_one();
     return true;
   }
-  reap();
-  if (hands_.size() >= limits_.most + (urgent ? limits_.reserve : 0)) return false;
-  const auto hand = hands_.emplace_back(std::make_shared<Hand>());
-  hand->job = std::move(job);
+  remove_ended_threads();
+  if (threads_.size() >= limits_.most + (urgent ? limits_.reserve : 0)) return false;
+  const auto pool_thread = threads_.emplace_back(std::make_shared<PoolThread>());
+  pool_thread->job = std::move(job);
   try {
-    hand->thread = start_("crew", [this, hand = hand.get()] { work(*hand); });
-  } catch (const std::exception& failed) {
-    hands_.pop_back();
-    if (refused_.due(clock_.now())) core::log_line(std::string("crew: ") + failed.what());
+    pool_thread->thread =
+        thread_factory_("crew", [this, pool_thread = pool_thread.get()] { run_jobs(*pool_thread); });
+  } catch (const std::exception& error) {
+    threads_.pop_back();
+    if (start_failure_log_.due(clock_.now())) core::log_line(std::string("crew: ") + error.what());
     return false;
   }
   return true;
 }
 
-void Crew::work(Hand& hand) {
+void Crew::run_jobs(PoolThread& pool_thread) {
   std::unique_lock lock(mutex_);
-  const std::chrono::duration<double, std::milli> rest(limits_.rest_ms);
-  while (hand.job) {
+  const std::chrono::duration<double, std::milli> idle_timeout(limits_.idle_timeout_ms);
+  while (pool_thread.job) {
     lock.unlock();
     try {
-      hand.job();
-    } catch (const std::exception& failed) {
-      core::log_line(std::string("crew: ") + failed.what());
+      pool_thread.job();
+    } catch (const std::exception& error) {
+      core::log_line(std::string("crew: ") + error.what());
     }
-    hand.job = nullptr;  // and what it holds, before this thread rests
+    pool_thread.job = nullptr;  // destroys what the job holds before this thread becomes idle
     lock.lock();
     if (stopping_) break;
-    resting_.push_back(hand.shared_from_this());
-    while (!hand.job && !stopping_) {
-      if (resting_.size() <= limits_.kept)
-        hand.wake.wait(lock);
-      else if (hand.wake.wait_for(lock, rest) == std::cv_status::timeout && !hand.job &&
-               resting_.size() > limits_.kept)
+    idle_.push_back(pool_thread.shared_from_this());
+    while (!pool_thread.job && !stopping_) {
+      if (idle_.size() <= limits_.kept)
+        pool_thread.wake.wait(lock);
+      else if (pool_thread.wake.wait_for(lock, idle_timeout) == std::cv_status::timeout && !pool_thread.job &&
+               idle_.size() > limits_.kept)
         break;
     }
-    if (!hand.job) std::erase_if(resting_, [&hand](const auto& one) { return one.get() == &hand; });
+    if (!pool_thread.job)
+      std::erase_if(idle_, [&pool_thread](const auto& idle) { return idle.get() == &pool_thread; });
   }
-  hand.over = true;
-  ended_.notify_all();
+  pool_thread.ended = true;
+  thread_ended_.notify_all();
 }
 
-void Crew::reap() {
-  std::erase_if(hands_, [](const auto& hand) { return hand->over; });
+void Crew::remove_ended_threads() {
+  std::erase_if(threads_, [](const auto& thread) { return thread->ended; });
 }
 
 void Crew::set_most(std::size_t most) {
@@ -85,8 +87,8 @@
 
 std::size_t Crew::threads() {
   const std::lock_guard lock(mutex_);
-  reap();
-  return hands_.size();
+  remove_ended_threads();
+  return threads_.size();
 }
 
 }  // namespace woadtide::park
--- a/src/park/fd.hpp
+++ b/src/park/fd.hpp
@@ -1,10 +1,12 @@
-// An open descriptor. Only its owner closes it; others may shut a socket down to wake the owner.
+// Owner of a file descriptor. Only the owner closes it; other threads may call shutdown() on a socket to wake
+// the thread that owns it.
 #pragma once
 
 #include <utility>
 
 namespace woadtide::park {
 
+// Owns one file descriptor, or none (-1), and closes it in the destructor. Move-only.
 class Fd {
  public:
   Fd() = default;
@@ -15,6 +17,7 @@
     return *this;
   }
   ~Fd();
+  // Returns the descriptor, still owned by this object; -1 where there is none.
   int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
 
--- a/src/park/park.cpp
+++ b/src/park/park.cpp
@@ -14,10 +14,10 @@
 namespace woadtide::park {
 
 namespace {
-constexpr double kLookMs = 1'000;  // the clock may have been set meanwhile
-constexpr Park::Token kWakeUp = Park::kNone;
+constexpr double kMaxWaitMs = 1'000;  // bounded because the clock may be set while the loop waits
+constexpr Park::Token kWakeToken = Park::kNone;
 
-void add(int epoll, int fd, std::uint32_t events, Park::Token token) {
+void add_to_epoll(int epoll, int fd, std::uint32_t events, Park::Token token) {
   epoll_event event{};
   event.events = events;
   event.data.u64 = token;
@@ -25,11 +25,11 @@
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
 }
 
-void guarded(const std::function<void()>& call) {
+void run_logging_exceptions(const std::function<void()>& call) {
   try {
     call();
-  } catch (const std::exception& failed) {
-    core::log_line(std::string("park: ") + failed.what());
+  } catch (const std::exception& error) {
+    core::log_line(std::string("park: ") + error.what());
   }
 }
 }  // namespace
@@ -39,9 +39,11 @@
 }
 
 Park::Park(const core::Clock& clock)
-    : clock_(clock), epoll_(::epoll_create1(EPOLL_CLOEXEC)), wake_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
-  if (!epoll_ || !wake_) throw std::system_error(errno, std::generic_category(), "park");
-  add(epoll_.get(), wake_.get(), EPOLLIN, kWakeUp);
+    : clock_(clock),
+      epoll_fd_(::epoll_create1(EPOLL_CLOEXEC)),
+      wake_fd_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
+  if (!epoll_fd_ || !wake_fd_) throw std::system_error(errno, std::generic_category(), "park");
+  add_to_epoll(epoll_fd_.get(), wake_fd_.get(), EPOLLIN, kWakeToken);
   thread_ = Thread("park", [this] { run(); });
 }
 
@@ -50,182 +52,188 @@
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  wake();
+  interrupt_wait();
 }
 
-void Park::wake() {
-  const std::uint64_t one = 1;
+void Park::interrupt_wait() {
+  const std::uint64_t increment = 1;
   ssize_t written = 0;
-  do written = ::write(wake_.get(), &one, sizeof one);
-  while (written < 0 && errno == EINTR);  // else it can only fail where a wake-up is pending already
+  do written = ::write(wake_fd_.get(), &increment, sizeof increment);
+  while (written < 0 && errno == EINTR);  // any other error means that a wake-up is pending already
 }
 
-Park::Token Park::enter(std::shared_ptr<Guest> guest, int fd) {
+Park::Token Park::enter(std::shared_ptr<Guest> handler, int fd) {
   const std::lock_guard lock(mutex_);
-  const Token token = next_++;
-  Place& place = places_[token];
-  place.guest = std::move(guest);
-  place.fd = fd;
+  const Token token = next_token_++;
+  Registration& registration = registrations_[token];
+  registration.handler = std::move(handler);
+  registration.fd = fd;
   if (fd < 0) return token;
   try {
-    // Told of changes only, for good: a link costs one call for its whole life.
-    add(epoll_.get(), fd, EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET, token);
+    // Edge-triggered, for all events and for good: a connection costs a single epoll_ctl() call while it is
+    // open.
+    add_to_epoll(epoll_fd_.get(), fd, EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET, token);
   } catch (...) {
-    places_.erase(token);
+    registrations_.erase(token);
     throw;
   }
   return token;
 }
 
-// A later time waits for the entry of an earlier one to come up: most times are pushed on and never come.
+// A later time than the queued one leaves the queue as it is; the timeout is queued again when the earlier
+// entry comes up. Most timeouts are moved to a later time again and again and never expire.
 void Park::wake_at(Token token, double when) {
   const std::lock_guard lock(mutex_);
-  const auto found = places_.find(token);
-  if (found == places_.end()) return;
-  Place& place = found->second;
-  place.due = when;
-  if (when >= place.queued) return;
-  if (place.queued < kNever) {
-    auto [from, to] = queue_.equal_range(place.queued);
-    queue_.erase(std::find_if(from, to, [token](const auto& entry) { return entry.second == token; }));
+  const auto found = registrations_.find(token);
+  if (found == registrations_.end()) return;
+  Registration& registration = found->second;
+  registration.timeout_at = when;
+  if (when >= registration.queued_at) return;
+  if (registration.queued_at < kNever) {
+    auto [from, to] = timeouts_.equal_range(registration.queued_at);
+    timeouts_.erase(std::find_if(from, to, [token](const auto& entry) { return entry.second == token; }));
   }
-  place.queued = when;
-  queue_.emplace(when, token);
-  if (when < sleeps_until_) {
-    sleeps_until_ = when;
-    wake();
+  registration.queued_at = when;
+  timeouts_.emplace(when, token);
+  if (when < waiting_until_) {
+    waiting_until_ = when;
+    interrupt_wait();
   }
 }
 
-void Park::poke(Token token, Signs signs) {
+void Park::poke(Token token, Signs events) {
   const std::lock_guard lock(mutex_);
-  const auto found = places_.find(token);
-  if (found == places_.end()) return;
-  Place& place = found->second;
-  place.poked.readable |= signs.readable;
-  place.poked.writable |= signs.writable;
-  place.poked.closed |= signs.closed;
-  if (std::exchange(place.is_poked, true)) return;
-  poked_.push_back(token);
-  if (sleeps_until_ > 0) wake();
+  const auto found = registrations_.find(token);
+  if (found == registrations_.end()) return;
+  Registration& registration = found->second;
+  registration.pending_events.readable |= events.readable;
+  registration.pending_events.writable |= events.writable;
+  registration.pending_events.closed |= events.closed;
+  if (std::exchange(registration.is_woken, true)) return;
+  woken_.push_back(token);
+  if (waiting_until_ > 0) interrupt_wait();
 }
 
 void Park::leave(Token token) {
   const std::lock_guard lock(mutex_);
-  const auto found = places_.find(token);
-  if (found == places_.end()) return;
-  const Place& place = found->second;
-  // Another process may hold the same socket: closing alone would leave it watched.
-  if (place.fd >= 0) ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, place.fd, nullptr);
-  if (place.queued < kNever) {
-    auto [from, to] = queue_.equal_range(place.queued);
-    queue_.erase(std::find_if(from, to, [token](const auto& entry) { return entry.second == token; }));
+  const auto found = registrations_.find(token);
+  if (found == registrations_.end()) return;
+  const Registration& registration = found->second;
+  // Another process may hold the same socket: epoll would keep watching it after a mere close().
+  if (registration.fd >= 0) ::epoll_ctl(epoll_fd_.get(), EPOLL_CTL_DEL, registration.fd, nullptr);
+  if (registration.queued_at < kNever) {
+    auto [from, to] = timeouts_.equal_range(registration.queued_at);
+    timeouts_.erase(std::find_if(from, to, [token](const auto& entry) { return entry.second == token; }));
   }
-  places_.erase(found);
+  registrations_.erase(found);
 }
 
 void Park::quiesce() {
-  if (thread_.is_this()) return;
+  if (thread_.is_current()) return;
   std::unique_lock lock(mutex_);
-  const std::uint64_t turn = turns_;
-  if (turn % 2 == 1) turned_.wait(lock, [&] { return turns_ != turn; });
+  const std::uint64_t phase = phase_;
+  if (phase % 2 == 1) iteration_ended_.wait(lock, [&] { return phase_ != phase; });
 }
 
 std::size_t Park::guests() {
   const std::lock_guard lock(mutex_);
-  return places_.size();
+  return registrations_.size();
 }
 
 void Park::run() {
   std::array<epoll_event, 64> events{};
-  std::vector<std::pair<Token, Signs>> seen;
+  std::vector<std::pair<Token, Signs>> ready_events;
   for (;;) {
-    double wait = kLookMs;
+    double wait = kMaxWaitMs;
     {
       const std::lock_guard lock(mutex_);
       if (stopping_) return;
       const double now = clock_.now();
-      if (!queue_.empty()) wait = std::clamp(std::ceil(queue_.begin()->first - now), 0.0, kLookMs);
-      if (!poked_.empty()) wait = 0;
-      sleeps_until_ = now + wait;
+      if (!timeouts_.empty()) wait = std::clamp(std::ceil(timeouts_.begin()->first - now), 0.0, kMaxWaitMs);
+      if (!woken_.empty()) wait = 0;
+      waiting_until_ = now + wait;
     }
     const int count =
-        ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), static_cast<int>(wait));
+        ::epoll_wait(epoll_fd_.get(), events.data(), static_cast<int>(events.size()), static_cast<int>(wait));
     if (count < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
-    // What falls due while guests are called waits for the next turn, which looks for its bytes first.
+    // A timeout that expires while handlers are called waits for the next iteration, which checks for I/O
+    // first.
     const double now = clock_.now();
-    seen.clear();
+    ready_events.clear();
     for (int i = 0; i < count; ++i) {
       const epoll_event& event = events[static_cast<std::size_t>(i)];
-      std::uint64_t gone = 0;
-      if (event.data.u64 != kWakeUp)
-        seen.push_back({event.data.u64,
-                        {(event.events & EPOLLIN) != 0, (event.events & EPOLLOUT) != 0,
-                         (event.events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0}});
-      else if (::read(wake_.get(), &gone, sizeof gone) < 0 && errno != EAGAIN && errno != EINTR)
-        core::log_line("park: a wake-up cannot be read");
+      std::uint64_t wake_count = 0;
+      if (event.data.u64 != kWakeToken)
+        ready_events.push_back({event.data.u64,
+                                {(event.events & EPOLLIN) != 0, (event.events & EPOLLOUT) != 0,
+                                 (event.events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0}});
+      else if (::read(wake_fd_.get(), &wake_count, sizeof wake_count) < 0 && errno != EAGAIN &&
+               errno != EINTR)
+        core::log_line("park: cannot read the wake-up descriptor");
     }
     {
       const std::lock_guard lock(mutex_);
-      sleeps_until_ = 0;
-      turns_ += 1;
-      take_poked(seen);
+      waiting_until_ = 0;
+      phase_ += 1;
+      collect_woken(ready_events);
     }
-    tell_ready(seen);
-    tell_late(now);
-    // Who was poked by these calls hears of it in the same turn, but what that leads to waits for the next.
-    seen.clear();
+    dispatch_ready(ready_events);
+    dispatch_timeouts(now);
+    // Handlers that these calls woke are called in the same iteration; handlers that are woken by that wait
+    // for the next one.
+    ready_events.clear();
     {
       const std::lock_guard lock(mutex_);
-      take_poked(seen);
+      collect_woken(ready_events);
     }
-    tell_ready(seen);
+    dispatch_ready(ready_events);
     const std::lock_guard lock(mutex_);
-    turns_ += 1;
-    turned_.notify_all();
+    phase_ += 1;
+    iteration_ended_.notify_all();
   }
 }
 
-void Park::take_poked(std::vector<std::pair<Token, Signs>>& seen) {
-  for (const Token token : std::exchange(poked_, {}))
-    if (const auto found = places_.find(token); found != places_.end()) {
-      found->second.is_poked = false;
-      seen.push_back({token, std::exchange(found->second.poked, {})});
+void Park::collect_woken(std::vector<std::pair<Token, Signs>>& events) {
+  for (const Token token : std::exchange(woken_, {}))
+    if (const auto found = registrations_.find(token); found != registrations_.end()) {
+      found->second.is_woken = false;
+      events.push_back({token, std::exchange(found->second.pending_events, {})});
     }
 }
 
-void Park::tell_ready(const std::vector<std::pair<Token, Signs>>& seen) {
-  for (const auto& [token, signs] : seen) {
-    std::shared_ptr<Guest> guest;
+void Park::dispatch_ready(const std::vector<std::pair<Token, Signs>>& events) {
+  for (const auto& [token, readiness] : events) {
+    std::shared_ptr<Guest> handler;
     {
-      // It may have left between the event and here; its token never comes again.
+      // The handler may have been removed since the event; its token is never reused.
       const std::lock_guard lock(mutex_);
-      const auto found = places_.find(token);
-      if (found == places_.end()) continue;
-      guest = found->second.guest;
+      const auto found = registrations_.find(token);
+      if (found == registrations_.end()) continue;
+      handler = found->second.handler;
     }
-    guarded([&guest, &signs = signs] { guest->ready(signs); });
+    run_logging_exceptions([&handler, &readiness = readiness] { handler->ready(readiness); });
   }
 }
 
-void Park::tell_late(double now) {
+void Park::dispatch_timeouts(double now) {
   for (;;) {
-    std::shared_ptr<Guest> guest;
+    std::shared_ptr<Guest> handler;
     {
       const std::lock_guard lock(mutex_);
-      if (queue_.empty() || queue_.begin()->first > now) return;
-      const Token token = queue_.begin()->second;
-      queue_.erase(queue_.begin());
-      Place& place = places_.at(token);
-      place.queued = kNever;
-      if (place.due > now) {
-        if (place.due < kNever) queue_.emplace(place.queued = place.due, token);
+      if (timeouts_.empty() || timeouts_.begin()->first > now) return;
+      const Token token = timeouts_.begin()->second;
+      timeouts_.erase(timeouts_.begin());
+      Registration& registration = registrations_.at(token);
+      registration.queued_at = kNever;
+      if (registration.timeout_at > now) {
+        if (registration.timeout_at < kNever)
+          timeouts_.emplace(registration.queued_at = registration.timeout_at, token);
         continue;
       }
-      place.due = kNever;
-      guest = place.guest;
+      registration.timeout_at = kNever;
+      handler = registration.handler;
     }
-    guarded([&guest] { guest->late(); });
+    run_logging_exceptions([&handler] { handler->late(); });
   }
 }
 
--- a/src/park/park.hpp
+++ b/src/park/park.hpp
@@ -1,10 +1,11 @@
-// Threads follow work. What waits, for bytes or for a time, stands in the Park, which one thread watches for
-// all; what has to block runs in the Crew, on a thread that it holds for just so long. Knows descriptors and
-// times, and must not know what they carry: no protocol, no decisions.
+// Event loop and thread pool. Whatever waits, for I/O or for a time, is registered with the event loop, which
+// serves all registrations on one thread; whatever has to block runs in the thread pool, on a thread that it
+// occupies only for as long as it blocks. This layer knows descriptors and times. It must not depend on what
+// they carry: no protocol and no scheduling decisions.
 //
-// Invariants: a guest is called on the park's thread only, by one call at a time, and never after leave() and
-// quiesce(). Bytes beat time: what is ready is told before what is late. Crew: a job that take() accepted
-// runs once; at the end of the crew all that run are waited for.
+// Invariants: An event handler is called on the event loop's thread only, by one call at a time, and never
+// after remove() followed by quiesce(). I/O goes before time: on_ready() is called before on_timeout().
+// Thread pool: a job that try_submit() accepted runs once, and the destructor waits for all running jobs.
 #pragma once
 
 #include <condition_variable>
@@ -26,120 +27,132 @@
 
 namespace woadtide::park {
 
+// Readiness of a descriptor, as epoll reports it.
 struct Signs {
   bool readable = false, writable = false;
-  bool closed = false;  // the peer has ended its side, or the link is broken
+  bool closed = false;  // the peer has shut down its side, or the connection is broken
 };
 
-// Somebody who stands in the park. No call may block.
+// Event handler: receives the events of one registration. Its functions must not block.
 class Guest {
  public:
   virtual ~Guest() = default;
-  // Something has changed at its descriptor since it was last told: it has to read or write until that would
-  // block, and is not told again of what it leaves.
-  virtual void ready(Signs signs) = 0;
-  virtual void late() = 0;  // the time that it asked for has come
+  // The readiness of the descriptor has changed since the last call (edge-triggered): the handler has to read
+  // or write until that would block, and is not notified again of anything that it leaves.
+  virtual void ready(Signs events) = 0;
+  // The time set by set_timeout() has come.
+  virtual void late() = 0;
 };
 
+// Event loop over epoll, with a thread of its own. All member functions may be called from any thread.
 class Park {
  public:
-  using Token = std::uint64_t;
+  using Token = std::uint64_t;  // names a registration; never reused
   static constexpr Token kNone = 0;
-  static constexpr double kNever = 1e18;
+  static constexpr double kNever = 1e18;  // as a time in ms: no timeout
 
+  // Starts the loop's thread. `clock` must outlive the loop. Throws std::system_error.
   explicit Park(const core::Clock& clock);
+  // Waits until the call that runs at the moment has returned.
   ~Park();
   Park(const Park&) = delete;
   Park& operator=(const Park&) = delete;
 
-  // All calls may come from any thread. `fd` may be -1: a place for times only. Throws std::system_error
-  // where the kernel has no room.
-  Token enter(std::shared_ptr<Guest> guest, int fd);
-  // The same for a guest that leaves, and waits by quiesce(), before it ends.
-  Token enter(Guest& guest, int fd) {
-    return enter(std::shared_ptr<Guest>(std::shared_ptr<Guest>(), &guest), fd);
+  // Registers a handler for the events of `fd`; -1 registers it for timeouts only. Throws std::system_error
+  // where the kernel cannot add the descriptor.
+  Token enter(std::shared_ptr<Guest> handler, int fd);
+  // The same for a handler that the caller owns; it calls remove() and quiesce() before it destroys it.
+  Token enter(Guest& handler, int fd) {
+    return enter(std::shared_ptr<Guest>(std::shared_ptr<Guest>(), &handler), fd);
   }
-  // late() is called at `when` on the clock; another call replaces it.
-  void wake_at(Token place, double when);
-  // ready() is called with these signs, as if the descriptor had shown them.
-  void poke(Token place, Signs signs);
-  // Before the descriptor is closed. A call that has begun may still be running.
-  void leave(Token place);
-  // Waits until no call runs that had begun before. On the park's own thread: nothing.
+  // on_timeout() is called once the clock reaches `when` (ms). Replaces the time that was set before.
+  void wake_at(Token token, double when);
+  // on_ready() is called with these events, as if the descriptor had reported them.
+  void poke(Token token, Signs events);
+  // Removes a registration. To be called before the descriptor is closed. A call to the handler that has
+  // begun may still be running.
+  void leave(Token token);
+  // Waits until no handler call is running that had begun before. Does nothing on the loop's own thread.
   void quiesce();
+  // Returns the number of registrations.
   std::size_t guests();
 
  private:
-  struct Place {
-    std::shared_ptr<Guest> guest;
+  struct Registration {
+    std::shared_ptr<Guest> handler;
     int fd = -1;
-    double due = kNever;
-    double queued = kNever;  // its entry in queue_: at `due` or before, at most one
-    Signs poked = {};
-    bool is_poked = false;
+    double timeout_at = kNever;
+    double queued_at = kNever;  // key of its entry in timeouts_, at most one: at `timeout_at` or earlier
+    Signs pending_events = {};  // those passed to wake() since the last on_ready()
+    bool is_woken = false;      // is in woken_
   };
   void run();
-  void take_poked(std::vector<std::pair<Token, Signs>>& seen);
-  void tell_ready(const std::vector<std::pair<Token, Signs>>& seen);
-  void tell_late(double now);
-  void wake();
+  void collect_woken(std::vector<std::pair<Token, Signs>>& events);
+  void dispatch_ready(const std::vector<std::pair<Token, Signs>>& events);
+  void dispatch_timeouts(double now);
+  void interrupt_wait();
 
   const core::Clock& clock_;
-  Fd epoll_, wake_;
+  Fd epoll_fd_, wake_fd_;
   std::mutex mutex_;
-  std::condition_variable turned_;
-  std::unordered_map<Token, Place> places_;
-  std::multimap<double, Token> queue_;
-  std::vector<Token> poked_;
-  Token next_ = kNone + 1;
-  std::uint64_t turns_ = 0;  // of the park's thread; odd while it calls guests
-  double sleeps_until_ = 0;  // 0: awake
+  std::condition_variable iteration_ended_;
+  std::unordered_map<Token, Registration> registrations_;
+  std::multimap<double, Token> timeouts_;
+  std::vector<Token> woken_;
+  Token next_token_ = kNone + 1;
+  std::uint64_t phase_ = 0;   // of the loop's thread; odd while it calls handlers
+  double waiting_until_ = 0;  // end of the epoll_wait() in progress; 0: not waiting
   bool stopping_ = false;
-  Thread thread_;  // last: it uses all the others
+  Thread thread_;  // last: it uses all the other members
 };
 
-// Threads that are started as work asks for them, and end when they have rested for long.
+// Thread pool that starts threads on demand. Threads end after they have been idle for long.
 class Crew {
  public:
   struct Limits {
-    std::size_t most = 64;     // at work at once
-    std::size_t reserve = 16;  // beside them, for urgent jobs
-    std::size_t kept = 1;      // that rest without end
-    double rest_ms = 1'000;    // the others end after it
+    std::size_t most = 64;           // threads for jobs of any kind
+    std::size_t reserve = 16;        // further threads, for urgent jobs only
+    std::size_t kept = 1;            // idle threads that never end
+    double idle_timeout_ms = 1'000;  // after which the other idle threads end
   };
+  // Starts a thread. Throws std::system_error where the system cannot create one.
   using Start = std::function<Thread(const std::string& name, std::function<void()> body)>;
+  // `start`: for tests; by default a Thread is started.
   explicit Crew(Limits limits, Start start = {});
+  // Waits for all running jobs.
   ~Crew();
   Crew(const Crew&) = delete;
   Crew& operator=(const Crew&) = delete;
 
-  // False where no thread can be had, by the bound or by the system: the job was not taken. `urgent`: what
-  // must go on whatever else is at work.
+  // Runs the job on an idle thread or a new one. Returns false where no thread is available, because of the
+  // limit or because the system cannot create one: the job will not run. `urgent`: for jobs that must proceed
+  // whatever else is running.
   bool take(std::function<void()> job, bool urgent = false);
-  // Another bound from here on. What is at work stays.
+  // Changes the limit on threads from now on. Running jobs are not affected.
   void set_most(std::size_t most);
+  // Returns the number of threads, idle ones included.
   std::size_t threads();
 
  private:
-  struct Hand : std::enable_shared_from_this<Hand> {
+  struct PoolThread : std::enable_shared_from_this<PoolThread> {
     std::function<void()> job;
     std::condition_variable wake;
-    bool over = false;
+    bool ended = false;
     Thread thread;
   };
-  void work(Hand& hand);
-  void reap();
+  void run_jobs(PoolThread& pool_thread);
+  void remove_ended_threads();
 
-  Limits limits_;  // `most` under the mutex
-  const Start start_;
+  Limits limits_;  // the maximum of threads is guarded by mutex_
+  const Start thread_factory_;
   std::mutex mutex_;
-  std::condition_variable ended_;
-  std::list<std::shared_ptr<Hand>> hands_;
-  std::vector<std::shared_ptr<Hand>>
-      resting_;  // the last one rested shortest, and is taken first: its stack is warm
+  std::condition_variable thread_ended_;
+  std::list<std::shared_ptr<PoolThread>> threads_;
+  std::vector<std::shared_ptr<PoolThread>>
+      idle_;  // the last one became idle most recently, and is used first: its stack is likely still cached
   bool stopping_ = false;
-  core::Seldom refused_;
-  const core::Clock clock_;  // for refused_ only
+  core::Seldom start_failure_log_;
+  const core::Clock clock_;  // for start_failure_log_ only
 };
 
 }  // namespace woadtide::park
--- a/src/park/thread.cpp
+++ b/src/park/thread.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-struct Start {
+struct StartArguments {
   std::string name;
   std::function<void()> body;
 };
 
-// An exception that left a thread would end the process, and with it all that was taken.
-void* run(void* raw) {
-  const std::unique_ptr<Start> start(static_cast<Start*>(raw));
-  pthread_setname_np(pthread_self(), start->name.substr(0, 15).c_str());
+// An exception that left a thread would terminate the process, and with it all accepted queries.
+void* run(void* argument) {
+  const std::unique_ptr<StartArguments> arguments(static_cast<StartArguments*>(argument));
+  pthread_setname_np(pthread_self(), arguments->name.substr(0, 15).c_str());
   try {
-    start->body();
-  } catch (const std::exception& broken) {
-    core::log_line("thread " + start->name + ": " + broken.what());
+    arguments->body();
+  } catch (const std::exception& failure) {
+    core::log_line("thread " + arguments->name + ": " + failure.what());
   }
   return nullptr;
 }
@@ -43,26 +43,27 @@
 }  // namespace
 
 Thread::Thread(const std::string& name, std::function<void()> body) {
-  auto start = std::make_unique<Start>(Start{name, std::move(body)});
+  auto arguments = std::make_unique<StartArguments>(StartArguments{name, std::move(body)});
   Attributes attributes;
   pthread_attr_setstacksize(attributes.get(), kStackBytes);
-  const int error = pthread_create(&handle_, attributes.get(), run, start.get());
+  const int error = pthread_create(&handle_, attributes.get(), run, arguments.get());
   if (error != 0) throw std::system_error(error, std::generic_category(), "thread " + name);
-  (void)start.release();
-  runs_ = true;
+  (void)arguments.release();
+  joinable_ = true;
 }
 
-Thread::Thread(Thread&& other) noexcept : handle_(other.handle_), runs_(std::exchange(other.runs_, false)) {}
+Thread::Thread(Thread&& other) noexcept
+    : handle_(other.handle_), joinable_(std::exchange(other.joinable_, false)) {}
 
 Thread& Thread::operator=(Thread&& other) noexcept {
   join();
   handle_ = other.handle_;
-  runs_ = std::exchange(other.runs_, false);
+  joinable_ = std::exchange(other.joinable_, false);
   return *this;
 }
 
 void Thread::join() {
-  if (std::exchange(runs_, false)) pthread_join(handle_, nullptr);
+  if (std::exchange(joinable_, false)) pthread_join(handle_, nullptr);
 }
 
 }  // namespace woadtide::park
