--- a/src/core/query.hpp
+++ b/src/core/query.hpp
@@ -25,7 +25,7 @@
 struct Query {
   std::string id;
   std::string class_name;
-  double slots = 1;               // of a worker's capacity that it occupies
+  double slots = 1;               // slots of a worker that it occupies
   std::optional<double> cost_ms;  // the client's estimate of the running time
   double deadline = 0;            // when the client gives up: ms of the Clock
   Parcel parcel;
@@ -62,7 +62,7 @@
   Parcel parcel;
   double deadline = 0;  // ms of the Clock, as the query has it
   // Latest time (ms of the Clock) at which the first byte may be sent. After it the execution is not started
-  // and ends with Status::moot.
+  // and ends as not started.
   double not_after = kAlways;
   static constexpr double kAlways = 1e18;
 };
@@ -77,7 +77,7 @@
   // Stops waiting for the execution; the worker goes on with it.
   virtual void cancel(const ExecutionKey& key) = 0;
   // The client does not wait for the execution any more. Where its last byte has not been sent, it never is,
-  // and the execution ends as not started (Status::moot). Otherwise nothing changes.
+  // and the execution ends as not started. Otherwise nothing changes.
   virtual void withdraw(const ExecutionKey& key) = 0;
   // Asks the worker for its load report, without a query.
   virtual void probe(const std::string& worker) = 0;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -85,9 +85,7 @@
   CHECK(callback->answers[0].body == "paid");
 }
 
-TEST_CASE(
-    "at the client's deadline the execution is cancelled, the answer is sent, and a later result is "
-    "dropped") {
+TEST_CASE("at the deadline the execution is cancelled, the answer is sent, and a later result is dropped") {
   LoopFixture fixture(2);
   const auto callback = fixture.submit_new("q", "refund-payout", 3'000);
   fixture.advance(2'999);
@@ -213,8 +211,8 @@
   sent(0);
   sent(1);
   fixture.end(0, Status::ok, "x");
-  fixture.advance(
-      10'000);  // the log's counts start again; the payout has timed out, but its worker still executes it
+  // The log's counts start again; the payout has timed out, but its worker still executes it.
+  fixture.advance(10'000);
   const auto disconnected = fixture.submit_new("l", "receipt-check");
   fixture.submit_new("o", "receipt-check");
   fixture.deliver(ClientGone{"l", disconnected});  // no longer outstanding, though its execution is pending
@@ -236,8 +234,7 @@
 // Guards exclusions across a hot restart, whichever process received the command, and ids that are in
 // progress at the other process.
 TEST_CASE(
-    "an operator's command is in effect here and sent on, and a new sibling process is sent the whole "
-    "state") {
+    "an operator's command takes effect and is sent on, and a new sibling process gets the whole state") {
   LoopFixture fixture(2);
   const auto call = [&](OperatorCall::Kind kind, const std::string& worker) {
     OperatorCall command{kind, worker, {}};
