--- a/src/core/config.hpp
+++ b/src/core/config.hpp
@@ -11,12 +11,12 @@
 
 namespace woadtide::core {
 
-// Contents of the config file and of the command line, decoded.
+// The decoded config file, and the values that the program adds to it.
 struct Config {
-  std::string name, listen, discovery;  // the latter two are addresses, host:port
+  std::string name, listen, discovery;  // listen and discovery: host:port
   std::string management;               // address for operators' commands; empty: none
-  int passed_socket =
-      -1;              // descriptor of the socket on which the platform listens for this process; -1: none
+  // Descriptor of the socket on which the platform listens for this process; -1: none.
+  int passed_socket = -1;
   std::string folder;  // shared by all processes of this dispatcher; empty: none
   std::string tether;  // path of the control socket, where a supervisor finds this process; empty: none
   std::string version = "0", settings_id = "none";  // reported by version_line()
--- a/src/core/figures.hpp
+++ b/src/core/figures.hpp
@@ -33,7 +33,7 @@
 
 // Returns the statistics as one JSON object in one line.
 std::string text_of(const Figures& stats);
-// Parses the text that the function above writes. Throws std::runtime_error with a message of one line.
+// Parses the text that serialize() returns. Throws std::runtime_error with a message of one line.
 Figures read_figures(const std::string& text);
 // Parses the reply to the command `telemetry`, for programs from before these statistics: without latencies,
 // and with no query counted as late.
--- a/src/core/kin.hpp
+++ b/src/core/kin.hpp
@@ -12,16 +12,16 @@
 
 // A message between sibling processes.
 struct Word {
-  enum class Kind {  // in the order of the names on the wire
-    exclude,         // an operator excluded this worker
-    include,         // an operator included this worker again
-    query,           // a query with this id was accepted: it must not run at the other process too
-    told,            // the initial state has been sent completely
-    ready,           // the sender accepts clients
-    unready,         // the sender accepts no clients
-    // The sender's endpoint list, in the format of service discovery: a drain that one process received holds
-    // at
-    // both.
+  // The value is the index of the kind's name on the wire.
+  enum class Kind {
+    exclude,  // an operator excluded this worker
+    include,  // an operator included this worker again
+    query,    // a query with this id was accepted: it must not run at the other process too
+    told,     // the initial state has been sent completely
+    ready,    // the sender accepts clients
+    unready,  // the sender accepts no clients
+    // The sender's endpoint list, in the format of service discovery, since a drain that one process received
+    // holds at both.
     list,
   };
   Kind kind = Kind::told;
--- a/src/core/query.hpp
+++ b/src/core/query.hpp
@@ -25,12 +25,13 @@
 struct Query {
   std::string id;
   std::string class_name;
-  double slots = 1;               // slots of a worker that it occupies
+  double slots = 1;               // capacity that it occupies at a worker
   std::optional<double> cost_ms;  // the client's estimate of the running time
   double deadline = 0;            // when the client gives up: ms of the Clock
   Parcel parcel;
 };
 
+// How a query was answered.
 enum class AnswerKind { served, refused, failed, timed_out, bad_query };
 
 // The final answer to a query.
@@ -61,8 +62,8 @@
   std::string worker;
   Parcel parcel;
   double deadline = 0;  // ms of the Clock, as the query has it
-  // Latest time (ms of the Clock) at which the first byte may be sent. After it the execution is not started
-  // and ends as not started.
+  // Latest time (ms of the Clock) at which the first byte may be sent. Where it has not been sent by then,
+  // the execution ends as not started.
   double not_after = kAlways;
   static constexpr double kAlways = 1e18;
 };
@@ -81,7 +82,8 @@
   virtual void withdraw(const ExecutionKey& key) = 0;
   // Asks the worker for its load report, without a query.
   virtual void probe(const std::string& worker) = 0;
-  // Excludes the worker from new executions, those included that are on their way to it, or lifts that again.
+  // Excludes the worker from new executions, including those that are already on their way to it, or includes
+  // it again.
   virtual void exclude(const std::string& worker, bool excluded) = 0;
 };
 
