--- a/src/net/host_group.cpp
+++ b/src/net/host_group.cpp
@@ -13,42 +13,44 @@
 using woadtide::WorkerState;
 
 namespace {
-constexpr double kAgainMs = 50;  // where no thread can be had to open a watch, and first after an agent's end
-constexpr double kMostAgainMs =
-    1'000;  // it doubles up to this: an agent is on our own machine, and asking is free
-// What an operator allows a dispatcher for control, which a list that cannot be used must not exceed for
+// Delay before a watch is reopened if no thread is available, and first delay after an agent's watch ended.
+// The latter doubles up to the maximum: the agent is on this machine, and calling it is cheap.
+constexpr double kReopenDelayMs = 50;
+constexpr double kMaxReopenDelayMs = 1'000;
+// Bytes per ms that operators allow a dispatcher for control traffic; unusable lists must not exceed it for
 // long.
 constexpr double kControlBytesPerMs = 4.096;
 
-endpoints::EndpointUpdate update_of(const core::HostList& list) {
+endpoints::EndpointUpdate to_update(const core::HostList& list) {
   return {list.seq, true, {list.hosts.begin(), list.hosts.end()}};
 }
 }  // namespace
 
-// Thrown where a watch or a call for one ends.
+// Ends a watch or a call; thrown by the functions that read or open it.
 struct HostGroup::Failure : std::runtime_error {
-  Failure(Ending how, const std::string& why) : std::runtime_error(why), ending(how) {}
-  Ending ending;
+  Failure(EndReason end_reason, const std::string& message)
+      : std::runtime_error(message), reason(end_reason) {}
+  EndReason reason;
 };
 
 HostGroup::HostGroup(const std::string& discovery, const core::HostList& remembered, core::Clock& clock,
-                     core::Inbox& inbox, BufferPool& pool, park::Park& park, park::Crew& crew, Way way,
-                     double silence_ms, std::function<void()> on_list,
-                     const endpoints::EndpointLimits& limits)
+                     core::Inbox& inbox, BufferPool& buffer_pool, park::Park& event_loop,
+                     park::Crew& thread_pool, Way mode, double silence_timeout_ms,
+                     std::function<void()> on_first_list, const endpoints::EndpointLimits& limits)
     : clock_(clock),
       inbox_(inbox),
-      pool_(pool),
-      park_(park),
-      crew_(crew),
-      way_(way),
-      silence_ms_(silence_ms),
+      buffer_pool_(buffer_pool),
+      event_loop_(event_loop),
+      thread_pool_(thread_pool),
+      mode_(mode),
+      silence_timeout_ms_(silence_timeout_ms),
       discovery_(discovery),
       address_(discovery),
       reader_(limits, *this),
-      on_list_(std::move(on_list)) {
-  apply(update_of(remembered), ListKind::remembered);
-  begins_ = park_.enter(*this, -1);
-  if (way_ == Way::pushed) watch();
+      on_first_list_(std::move(on_first_list)) {
+  apply(to_update(remembered), ListKind::remembered);
+  timer_token_ = event_loop_.enter(*this, -1);
+  if (mode_ == Way::pushed) watch();
 }
 
 HostGroup::~HostGroup() {
@@ -56,19 +58,19 @@
     std::unique_lock lock(mutex_);
     stopping_ = true;
     if (socket_) socket_.shut();
-    opened_.wait(lock, [this] { return !opening_; });
-    park_.leave(begins_);
-    park_.leave(watch_);
+    opening_done_.wait(lock, [this] { return !opening_; });
+    event_loop_.leave(timer_token_);
+    event_loop_.leave(watch_token_);
   }
-  park_.quiesce();
+  event_loop_.quiesce();
 }
 
 void HostGroup::watch() {
   const std::lock_guard lock(mutex_);
-  if (following_) return;
-  if (clock_.now() >= not_before_) return begin();
-  following_ = true;
-  park_.wake_at(begins_, not_before_);
+  if (watching_) return;
+  if (clock_.now() >= no_call_before_) return start_call();
+  watching_ = true;
+  event_loop_.wake_at(timer_token_, no_call_before_);
 }
 
 void HostGroup::move(const std::string& discovery) {
@@ -77,14 +79,14 @@
   if (discovery == discovery_) return;
   discovery_ = discovery;
   address_ = address;
-  any_seq_ = true;
-  not_before_ = unanswered_ms_ = 0;
-  if (body_ && told_) as_of_ = heard_at_;
-  if (as_of_) as_of_ = std::min(*as_of_, clock_.now() - (core::kToldWithinMs - kMoveBindsMs));
-  tell_interruption();
-  // One watch is followed: what is open is shut, and it goes on at the new address.
-  moved_ = following_;
-  if (!following_) return begin();
+  accept_any_sequence_ = true;
+  no_call_before_ = response_timeout_ms_ = 0;
+  if (body_ && list_received_) as_of_ = last_message_at_;
+  if (as_of_) as_of_ = std::min(*as_of_, clock_.now() - (core::kToldWithinMs - kAddressChangeGraceMs));
+  report_interruption();
+  // There is only one watch: an open one is shut down and reopened at the new address.
+  address_changed_ = watching_;
+  if (!watching_) return start_call();
   if (socket_) socket_.shut();
 }
 
@@ -95,106 +97,112 @@
   return Known{Address(found->dial), found->dial, found->entry};
 }
 
-// Under the mutex. Drains are heard by it: it goes before all other work of the crew.
-void HostGroup::begin() {
-  following_ = true;
-  moved_ = false;
-  called_at_ = clock_.now();
-  received_ = 0;
-  opening_ = crew_.take([this] { open(); }, true);
-  if (!opening_) park_.wake_at(begins_, clock_.now() + kAgainMs);
+// Called with the mutex held. Drains arrive over the watch, so it is urgent work for the thread pool.
+void HostGroup::start_call() {
+  watching_ = true;
+  address_changed_ = false;
+  call_started_at_ = clock_.now();
+  body_bytes_received_ = 0;
+  opening_ = thread_pool_.take([this] { open_watch(); }, true);
+  if (!opening_) event_loop_.wake_at(timer_token_, clock_.now() + kReopenDelayMs);
 }
 
-void HostGroup::open() {
+void HostGroup::open_watch() {
   Address address;
   std::string query;
   try {
     {
       const std::lock_guard lock(mutex_);
-      moved_ = false;  // this is where it goes now
+      address_changed_ = false;  // the call goes to the current address
       address = address_;
       socket_ = Socket::make(address);
-      query = "GET /registry/instances?follow=1&since=" + std::to_string(seq_) +
+      query = "GET /registry/instances?follow=1&since=" + std::to_string(sequence_) +
               " HTTP/1.1\r\nHost: " + discovery_ + "\r\n\r\n";
     }
-    const ConnectError error = socket_.try_connect(address, kConnectMs);
-    if (error == ConnectError::own) throw Failure(Ending::own, "no connect can be had on this machine");
-    if (error != ConnectError::none) throw Failure(Ending::unreachable, "could not connect");
-    if (socket_.send({query}, clock_.now() + silence_ms_, clock_) != Io::done)
-      throw Failure(Ending::unreachable, "broke while it was opened");
+    const ConnectError error = socket_.try_connect(address, kConnectTimeoutMs);
+    if (error == ConnectError::own)
+      throw Failure(EndReason::local_error, "no connect can be had on this machine");
+    if (error != ConnectError::none) throw Failure(EndReason::unreachable, "could not connect");
+    if (socket_.send({query}, clock_.now() + silence_timeout_ms_, clock_) != Io::done)
+      throw Failure(EndReason::unreachable, "the connection broke before the request was sent");
     const std::lock_guard lock(mutex_);
-    // A socket that was shut before it began to connect connects all the same, to where discovery was.
-    if (moved_) throw Failure(Ending::unreachable, "discovery has moved");
-    heard_at_ = clock_.now();
-    intake_.emplace(socket_, clock_, pool_);
-    watch_ = park_.enter(*this, socket_.fd());
-    park_.wake_at(watch_, heard_at_ + patience_ms());
+    // A socket that was shut down before connect() still connects, to the previous address.
+    if (address_changed_) throw Failure(EndReason::unreachable, "the discovery address has changed");
+    last_message_at_ = clock_.now();
+    intake_.emplace(socket_, clock_, buffer_pool_);
+    watch_token_ = event_loop_.enter(*this, socket_.fd());
+    event_loop_.wake_at(watch_token_, last_message_at_ + read_timeout_ms());
     opening_ = false;
-    opened_.notify_all();
-    // What came, or was shut, before it stood there.
-    park_.poke(watch_, {.readable = true});
-  } catch (const std::exception& failed) {
+    opening_done_.notify_all();
+    // Handles input and shutdowns from before the registration.
+    event_loop_.poke(watch_token_, {.readable = true});
+  } catch (const std::exception& failure) {
     const std::lock_guard lock(mutex_);
     opening_ = false;
-    opened_.notify_all();
-    const auto* known = dynamic_cast<const Failure*>(&failed);
-    end(known ? known->ending : Ending::own, failed.what());
+    opening_done_.notify_all();
+    const auto* known_failure = dynamic_cast<const Failure*>(&failure);
+    end_watch(known_failure ? known_failure->reason : EndReason::local_error, failure.what());
   }
 }
 
-void HostGroup::ready(park::Signs signs) {
-  if (!signs.readable && !signs.closed) return;
+void HostGroup::ready(park::Signs events) {
+  if (!events.readable && !events.closed) return;
   const std::lock_guard lock(mutex_);
   if (stopping_ || !intake_) return;
   try {
-    hear();
-    park_.wake_at(watch_, intake_->starved() ? clock_.now() + kGoOnMs : heard_at_ + patience_ms());
-  } catch (const Failure& failed) {
-    end(failed.ending, failed.what());
-  } catch (const std::exception& failed) {
-    end(Ending::unreadable, failed.what());
+    process_available_input();
+    event_loop_.wake_at(watch_token_,
+                        intake_->starved() ? clock_.now() + kGoOnMs : last_message_at_ + read_timeout_ms());
+  } catch (const Failure& failure) {
+    end_watch(failure.reason, failure.what());
+  } catch (const std::exception& failure) {
+    end_watch(EndReason::invalid_list, failure.what());
   }
 }
 
-// A watch is silent, or another try to open one is due.
+// A watch is silent, or the next attempt to open one is due.
 void HostGroup::late() {
   const std::lock_guard lock(mutex_);
-  if (stopping_ || opening_ || !following_) return;
-  if (!intake_) return clock_.now() < not_before_ ? park_.wake_at(begins_, not_before_) : begin();
-  if (intake_->starved()) return park_.poke(watch_, {.readable = true});
-  // What it missed counts as told 6 s after discovery fell silent, and most of that has gone: another one is
-  // opened at once, also where this one never spoke, as of a call that was waiting when all fell silent. The
-  // module's gap between calls is for a discovery that answers, and says no. An agent that never spoke is
-  // down.
-  if (way_ == Way::asked && !body_)
-    unanswered_ms_ = std::min(2 * patience_ms(), kMostUnansweredFactor * silence_ms_);
-  end(Ending::silent, body_ ? "silent" : "no answer");
+  if (stopping_ || opening_ || !watching_) return;
+  if (!intake_)
+    return clock_.now() < no_call_before_ ? event_loop_.wake_at(timer_token_, no_call_before_) : start_call();
+  if (intake_->starved()) return event_loop_.poke(watch_token_, {.readable = true});
+  // The changes that the watch missed take effect 6 s after discovery fell silent, and most of that has
+  // passed: another watch is opened at once. That includes a call without any response, as one that was
+  // waiting when all fell silent. The module's delay between calls is for a discovery that responds with an
+  // error. A local agent that never responded is down.
+  if (mode_ == Way::asked && !body_)
+    response_timeout_ms_ = std::min(2 * read_timeout_ms(), kMaxResponseTimeoutFactor * silence_timeout_ms_);
+  end_watch(EndReason::silent, body_ ? "silent" : "no answer");
 }
 
-// Under the mutex. How long the open call may say nothing.
-double HostGroup::patience_ms() const { return body_ ? silence_ms_ : std::max(silence_ms_, unanswered_ms_); }
+// Called with the mutex held. How long the current call may stay silent.
+double HostGroup::read_timeout_ms() const {
+  return body_ ? silence_timeout_ms_ : std::max(silence_timeout_ms_, response_timeout_ms_);
+}
 
-// Under the mutex, all that has come. A watch lasts until something breaks it: then it throws.
-void HostGroup::hear() {
+// Called with the mutex held. Reads all that has been received. A watch lasts until something breaks it: then
+// this throws.
+void HostGroup::process_available_input() {
   intake_->begin_turn();
   if (!body_) {
     Io why = Io::done;
     const auto length = intake_->head(Intake::kNoWait, why);
     if (!length && why == Io::late) return;
-    if (!length) throw Failure(Ending::unreachable, "ended before an answer");
+    if (!length) throw Failure(EndReason::unreachable, "the connection ended before a response");
     const Head head = read_answer_head(intake_->view().substr(0, *length));
-    unanswered_ms_ = 0;
+    response_timeout_ms_ = 0;
     if (head.status != 200)
-      throw Failure(Ending::refused, "discovery answered " + std::to_string(head.status));
+      throw Failure(EndReason::refused, "discovery responded with status " + std::to_string(head.status));
     const Framing framing = framing_of_answer(head);
     intake_->use(*length);
     body_.emplace(framing);
-    heard_at_ = clock_.now();
+    last_message_at_ = clock_.now();
   }
   for (;;) {
-    received_ += intake_->view().size();
+    body_bytes_received_ += intake_->view().size();
     intake_->use(body_->feed(intake_->view(), [this](std::string_view piece) { reader_.feed(piece); }));
-    if (body_->over()) throw_ended();
+    if (body_->over()) throw_connection_ended();
     switch (intake_->more(Intake::kNoWait)) {
       case Io::done:
         break;
@@ -202,69 +210,71 @@
         return;
       case Io::ended:
       case Io::broken:
-        throw_ended();
+        throw_connection_ended();
     }
   }
 }
 
-void HostGroup::throw_ended() {
-  if (told_) throw Failure(Ending::by_discovery, "the link ended");
-  reader_.finish();  // throws where a list was cut off
-  throw Failure(Ending::unreachable, "the link ended");
+void HostGroup::throw_connection_ended() {
+  if (list_received_) throw Failure(EndReason::closed_by_discovery, "the connection ended");
+  reader_.finish();  // throws if a list was truncated
+  throw Failure(EndReason::unreachable, "the connection ended");
 }
 
-// Under the mutex, within hear().
+// Called with the mutex held, from process_available_input().
 void HostGroup::on_keep_alive() {
-  check_begun_anew();
-  heard_at_ = clock_.now();
+  check_sequence_restart();
+  last_message_at_ = clock_.now();
 }
 
-// The same. An update that cannot be used is not taken at all.
+// Likewise. An update with an invalid address is rejected as a whole.
 void HostGroup::on_update(endpoints::EndpointUpdate&& update) {
-  check_begun_anew();
+  check_sequence_restart();
   for (const endpoints::Endpoint& endpoint : update.endpoints) Address{endpoint.dial};
-  heard_at_ = clock_.now();
-  if (!std::exchange(told_, true)) core::log_line("watch: open at seq " + std::to_string(update.sequence));
-  again_ms_ = 0;
-  fell_silent_ = false;
-  unusable_in_row_ = 0;
+  last_message_at_ = clock_.now();
+  if (!std::exchange(list_received_, true))
+    core::log_line("watch: open at seq " + std::to_string(update.sequence));
+  reopen_delay_ms_ = 0;
+  silent_since_last_list_ = false;
+  unusable_lists_in_row_ = 0;
   as_of_ = clock_.now();
-  take(std::move(update));
-  tell_first_list();
+  accept_update(std::move(update));
+  notify_first_list();
 }
 
-// The same.
+// Likewise.
 void HostGroup::on_error(const endpoints::EndpointListError& error) {
-  throw Failure(Ending::unreadable, error.text);
+  throw Failure(EndReason::invalid_list, error.text);
 }
 
-// Under the mutex.
-void HostGroup::check_begun_anew() {
-  if (!older_since_ || clock_.now() - *older_since_ < kOlderMs) return;
-  seq_ = 0;  // asks for the whole list
-  any_seq_ = true;
+// Called with the mutex held.
+void HostGroup::check_sequence_restart() {
+  if (!older_since_ || clock_.now() - *older_since_ < kOlderListHoldMs) return;
+  sequence_ = 0;  // requests the whole list
+  accept_any_sequence_ = true;
   older_since_.reset();
-  throw Failure(Ending::by_discovery, "discovery has begun anew");
+  throw Failure(EndReason::closed_by_discovery, "the sequence of discovery has restarted");
 }
 
-// Under the mutex.
-void HostGroup::take(endpoints::EndpointUpdate&& update) {
-  if (update.sequence < seq_ && !any_seq_) return take_older(update);
-  any_seq_ = false;
+// Called with the mutex held.
+void HostGroup::accept_update(endpoints::EndpointUpdate&& update) {
+  if (update.sequence < sequence_ && !accept_any_sequence_) return accept_drains_of_older_list(update);
+  accept_any_sequence_ = false;
   older_since_.reset();
   apply(std::move(update), update.whole ? ListKind::full : ListKind::changes);
 }
 
-// Under the mutex. A worker that has drained or gone since must not come back by it, nor one go that came
-// since. But a drain may be news all the same, from a discovery that counts anew, and counts as told: what
-// it takes away from a worker of the same start holds at once, and the rest once it has said so for long.
-void HostGroup::take_older(const endpoints::EndpointUpdate& older) {
+// Called with the mutex held. An older list must not reinstate a worker that has drained or been removed
+// since, nor remove one that has been added since. But its drains may be new all the same, from a discovery
+// whose sequence restarted, and they take effect: a drain of a worker with the same start time is applied at
+// once, the rest of the list once discovery has repeated it for kOlderListHoldMs.
+void HostGroup::accept_drains_of_older_list(const endpoints::EndpointUpdate& older) {
   if (!older_since_) {
     older_since_ = clock_.now();
-    core::log_line("watch: the list goes back from seq " + std::to_string(seq_) + " to " +
+    core::log_line("watch: the list goes back from seq " + std::to_string(sequence_) + " to " +
                    std::to_string(older.sequence) + ": only its drains are taken for now");
   }
-  endpoints::EndpointUpdate drains{seq_, false, {}};
+  endpoints::EndpointUpdate drains{sequence_, false, {}};
   for (const endpoints::Endpoint& endpoint : older.endpoints) {
     const endpoints::Endpoint* known = table_.find(endpoint.name());
     if (known && endpoint.entry.state != WorkerState::ready && known->entry.state == WorkerState::ready &&
@@ -276,116 +286,120 @@
 
 std::string HostGroup::list() const {
   const std::lock_guard lock(mutex_);
-  core::HostList list{seq_, true, {}};
-  const std::optional<double> as_of = body_ && told_ ? heard_at_ : as_of_;
+  core::HostList list{sequence_, true, {}};
+  const std::optional<double> as_of = body_ && list_received_ ? last_message_at_ : as_of_;
   if (as_of) list.as_of_monotonic_ms = clock_.to_monotonic(*as_of);
   for (const endpoints::Endpoint& endpoint : table_) list.hosts.push_back(endpoint);
   return core::text_of(list);
 }
 
-// The module takes it as a list that is remembered: no watch of this process has told it, and one has to be
+// The module receives it as a remembered list: no watch of this process has delivered it, and one has to be
 // opened.
 void HostGroup::hear_list(const std::string& text) {
   const nlohmann::json object = nlohmann::json::parse(text, nullptr, false);
   if (object.is_discarded()) return;
   const core::HostList list = core::read_host_list(object);
   const std::lock_guard lock(mutex_);
-  const bool confirms = list.seq == seq_ && !as_of_ && list.as_of_monotonic_ms;
-  if (stopping_ || (list.seq <= seq_ && !confirms)) return;
+  const bool confirms = list.seq == sequence_ && !as_of_ && list.as_of_monotonic_ms;
+  if (stopping_ || (list.seq <= sequence_ && !confirms)) return;
   core::log_line("host group: the other process has seq " + std::to_string(list.seq) + ", this one had " +
-                 std::to_string(seq_));
+                 std::to_string(sequence_));
   if (list.as_of_monotonic_ms) {
     const double as_of = clock_.from_monotonic(*list.as_of_monotonic_ms);
     as_of_ = std::max(as_of_.value_or(as_of), as_of);
   }
-  apply(update_of(list), ListKind::remembered);
-  if (as_of_) tell_first_list();
+  apply(to_update(list), ListKind::remembered);
+  if (as_of_) notify_first_list();
 }
 
-// Under the mutex. Discovery's changes bind some time after they could be heard. A watch that ends of itself,
-// and a call that is not taken, show that discovery went down or is: it can tell others nothing either. One
-// that falls silent shows nothing, and a call that is refused after that may be one of too many.
-void HostGroup::note_reachability(Ending ending) {
-  if (body_ && told_) as_of_ = heard_at_;
-  if (ending == Ending::silent) fell_silent_ = true;
-  if (ending == Ending::by_discovery) as_of_ = clock_.now();
-  if (ending == Ending::unreadable) {
-    wait_for_bytes();
-    as_of_ = std::max({as_of_.value_or(0), called_at_, not_before_});
+// Called with the mutex held. Changes take effect some time after they could be received. A watch that
+// discovery closes, and a call that is refused, show that discovery went down or is down: then it cannot send
+// changes to others either. A watch that falls silent shows nothing, and a call refused after that may be one
+// of too many.
+void HostGroup::update_as_of(EndReason reason) {
+  if (body_ && list_received_) as_of_ = last_message_at_;
+  if (reason == EndReason::silent) silent_since_last_list_ = true;
+  if (reason == EndReason::closed_by_discovery) as_of_ = clock_.now();
+  if (reason == EndReason::invalid_list) {
+    delay_next_call();
+    as_of_ = std::max({as_of_.value_or(0), call_started_at_, no_call_before_});
   }
-  if (ending == Ending::unreachable || (ending == Ending::refused && !fell_silent_))
-    as_of_ = std::max(as_of_.value_or(called_at_), called_at_);
+  if (reason == EndReason::unreachable || (reason == EndReason::refused && !silent_since_last_list_))
+    as_of_ = std::max(as_of_.value_or(call_started_at_), call_started_at_);
 }
 
-// Under the mutex. The first list that cannot be used may be a fault of the way; further ones are read only
-// as often as the bytes for control allow, and the list that is held stays in force meanwhile: what discovery
-// has cannot be told to anybody.
-void HostGroup::wait_for_bytes() {
+// Called with the mutex held. The first unusable list may be a transmission fault; further ones are read only
+// as often as the control traffic limit allows. The current list stays in force meanwhile: what discovery has
+// cannot be delivered to anybody.
+void HostGroup::delay_next_call() {
   unusable_lists_ += 1;
-  unusable_in_row_ += 1;
-  const double wait = unusable_in_row_ > 1 ? static_cast<double>(received_) / kControlBytesPerMs : 0;
-  not_before_ = clock_.now() + wait;
+  unusable_lists_in_row_ += 1;
+  const double delay_ms =
+      unusable_lists_in_row_ > 1 ? static_cast<double>(body_bytes_received_) / kControlBytesPerMs : 0;
+  no_call_before_ = clock_.now() + delay_ms;
   core::log_line("watch: list " + std::to_string(unusable_lists_) + " that cannot be used, of " +
-                 std::to_string(received_) + " bytes; the next call waits " +
-                 std::to_string(static_cast<int>(wait / 1'000)) + " s");
+                 std::to_string(body_bytes_received_) + " bytes; the next call waits " +
+                 std::to_string(static_cast<int>(delay_ms / 1'000)) + " s");
 }
 
-// Under the mutex.
+// Called with the mutex held.
 std::optional<woadtide::Micros> HostGroup::as_of() const {
   if (!as_of_) return std::nullopt;
   return core::to_micros(*as_of_);
 }
 
-// Under the mutex. Where lists are pushed the module asks for none, and has no use for this.
-void HostGroup::tell_interruption() {
-  if (way_ == Way::asked) inbox_.put(core::ListTold{{ListKind::interrupted, {}, as_of()}});
+// Called with the mutex held. In push mode the module opens no watch and does not need this.
+void HostGroup::report_interruption() {
+  if (mode_ == Way::asked) inbox_.put(core::ListTold{{ListKind::interrupted, {}, as_of()}});
 }
 
-// Under the mutex.
-void HostGroup::tell_first_list() {
-  if (const auto call = std::exchange(on_list_, {})) call();
+// Called with the mutex held.
+void HostGroup::notify_first_list() {
+  if (const auto call = std::exchange(on_first_list_, {})) call();
 }
 
-// Under the mutex. Closed before the module hears of the failure, so that it can ask again.
-void HostGroup::end(Ending ending, const std::string& why) {
-  const bool again = ending == Ending::silent && (told_ || way_ == Way::asked);
-  if (!moved_) note_reachability(ending);
-  park_.leave(std::exchange(watch_, park::Park::kNone));
+// Called with the mutex held. The watch is closed before the module is told of the failure, so that it can
+// call again.
+void HostGroup::end_watch(EndReason reason, const std::string& why) {
+  const bool reopen = reason == EndReason::silent && (list_received_ || mode_ == Way::asked);
+  if (!address_changed_) update_as_of(reason);
+  event_loop_.leave(std::exchange(watch_token_, park::Park::kNone));
   body_.reset();
   reader_.reset();
   intake_.reset();
-  told_ = false;
+  list_received_ = false;
   socket_ = Socket{};
-  following_ = false;
+  watching_ = false;
   if (stopping_) return;
-  if (moved_) return begin();
-  if (ending == Ending::own) return begin_again_soon(why);
-  if (again_ms_ == 0) core::log_line("watch: failed: " + why);
-  if (again) {
-    tell_interruption();
-    return begin();
+  if (address_changed_) return start_call();
+  if (reason == EndReason::local_error) return retry_after_local_error(why);
+  if (reopen_delay_ms_ == 0) core::log_line("watch: failed: " + why);
+  if (reopen) {
+    report_interruption();
+    return start_call();
   }
-  if (way_ == Way::pushed) {
-    following_ = true;
-    again_ms_ = std::clamp(2 * again_ms_, kAgainMs, kMostAgainMs);
-    return park_.wake_at(begins_, std::max(clock_.now() + again_ms_, not_before_));
+  if (mode_ == Way::pushed) {
+    watching_ = true;
+    reopen_delay_ms_ = std::clamp(2 * reopen_delay_ms_, kReopenDelayMs, kMaxReopenDelayMs);
+    return event_loop_.wake_at(timer_token_, std::max(clock_.now() + reopen_delay_ms_, no_call_before_));
   }
   inbox_.put(core::ListTold{{ListKind::failed, {}, as_of()}});
 }
 
-// Under the mutex. Discovery may be well, and have told others of a drain: as soon as this machine can.
-void HostGroup::begin_again_soon(const std::string& why) {
-  if (own_failure_.due(clock_.now())) core::log_line("watch: failed: " + why);
-  following_ = true;
-  park_.wake_at(begins_, clock_.now() + kAgainMs);
+// Called with the mutex held. Discovery may be up and have sent a drain to others, so the call is repeated as
+// soon as this machine can.
+void HostGroup::retry_after_local_error(const std::string& why) {
+  if (local_failure_log_.due(clock_.now())) core::log_line("watch: failed: " + why);
+  watching_ = true;
+  event_loop_.wake_at(timer_token_, clock_.now() + kReopenDelayMs);
 }
 
-// Under the mutex, or before anybody else knows of this.
+// Called with the mutex held, or from the constructor.
 void HostGroup::apply(endpoints::EndpointUpdate&& update, ListKind kind) {
   core::ListTold message{{kind, {}, kind == ListKind::remembered ? as_of() : std::nullopt}};
   for (const endpoints::Endpoint& endpoint : update.endpoints)
     message.update.entries.push_back(endpoint.entry);
-  seq_ = update.sequence;
+  sequence_ = update.sequence;
   const endpoints::EndpointDelta delta = table_.apply(std::move(update));
   if (kind != ListKind::remembered) log_changes(delta);
   inbox_.put(std::move(message));
--- a/src/net/host_group.hpp
+++ b/src/net/host_group.hpp
@@ -1,9 +1,10 @@
-// The host group: discovery's list as this dispatcher has it, and the watch that keeps it fresh. A thread of
-// the crew opens the watch; between its lines it stands in the park.
+// Service discovery client: holds this dispatcher's endpoint list and the watch that keeps it current. A
+// thread of the thread pool opens the watch; between its lines the watch is registered with the event loop.
 //
-// Where lists are asked for, the module decides when: it asks for a watch, and hears of one that failed.
-// Where they are pushed, nobody asks: the watch at the agent is opened at once, and again whenever it ends.
-// Both ways a list of an older sequence than ours takes no worker back: see take_older().
+// In on-request mode the module decides when to call: it requests a watch and is told when one has failed. In
+// push mode nothing requests it: the watch at the local agent is opened at once, and again whenever it ends.
+// In both modes a list with a lower sequence number than the current one does not reinstate a worker, see
+// accept_drains_of_older_list().
 #pragma once
 
 #include <condition_variable>
@@ -23,116 +24,129 @@
 
 namespace woadtide::net {
 
+// Keeps the endpoint list and a watch on it; posts every change to the Inbox as core::ListTold.
 class HostGroup : public core::HostSource, private park::Guest, private endpoints::EndpointListListener {
  public:
-  // PROTOCOL: discovery writes at least an empty line every 2 s. A watch on which two were due and neither
-  // has come is silent. What it misses counts as told 6 s after it fell silent: what is left of that is for
-  // another watch to be opened, where all fall silent at once and discovery answers them one by one.
-  static constexpr double kLineMs = 2'000, kSilenceMs = 2 * kLineMs;
-  static constexpr double kConnectMs = 1'000;
-  // Told from a list that is older than ours for this long, discovery has begun anew: its list is the list.
-  static constexpr double kOlderMs = core::kToldWithinMs;
-  // PROTOCOL: after a reload, what the new address has to tell counts as told so long after it.
-  static constexpr double kMoveBindsMs = 4'000;
-  // What a call waits at the most for its answer, where ones before it had none: discovery may be slow, or
-  // have many callers, and works on those that were given up too. A fleet of 900 in turn, at 20 ms each,
-  // takes 18 s.
-  static constexpr int kMostUnansweredFactor = 4;
-  // Where no memory limit is told: DEPLOY's largest.
-  static constexpr std::size_t kUsualMemoryBytes = 192'000'000;
+  // By the protocol, discovery writes at least an empty line every 2 s. A watch on which two lines were due
+  // and neither has come is silent. The changes that it misses take effect 6 s after it fell silent; the
+  // remaining time is for opening another watch, as all watches may fall silent at once and discovery answers
+  // the calls one by one.
+  static constexpr double kKeepAliveIntervalMs = 2'000, kSilenceMs = 2 * kKeepAliveIntervalMs;
+  // Timeout of a connect to discovery.
+  static constexpr double kConnectTimeoutMs = 1'000;
+  // If discovery sends only lists older than the current one for this long, its sequence has restarted, and
+  // its list is accepted.
+  static constexpr double kOlderListHoldMs = core::kToldWithinMs;
+  // By the protocol, changes at a new discovery address take effect this long after a reload.
+  static constexpr double kAddressChangeGraceMs = 4'000;
+  // Limit of the response timeout, which grows after calls without a response, as a multiple of the silence
+  // timeout: discovery may be slow or have many callers, and it also processes calls that were abandoned.
+  // Serving a fleet of 900 in turn, at 20 ms each, takes 18 s.
+  static constexpr int kMaxResponseTimeoutFactor = 4;
+  // If no memory limit is configured: the largest of the deployment requirements.
+  static constexpr std::size_t kDefaultMemoryBytes = 192'000'000;
+  // How lists are obtained. asked: on request of the module, from discovery. pushed: from an agent on this
+  // machine.
   enum class Way { asked, pushed };
 
+  // A worker's list entry with its dial address, as text and parsed.
   struct Known {
     Address address;
     std::string dial;
     woadtide::ListEntry entry;
   };
 
-  // The remembered list goes to the Inbox at once. `on_list` is called once, with the first list that
-  // discovery or the other process has told; it must not block nor call back.
+  // Posts the remembered list to the Inbox at once. `on_first_list` is called once, with the first list
+  // received from discovery or from a sibling process; it must not block or call back into this object.
   HostGroup(const std::string& discovery, const core::HostList& remembered, core::Clock& clock,
-            core::Inbox& inbox, BufferPool& pool, park::Park& park, park::Crew& crew, Way way = Way::asked,
-            double silence_ms = kSilenceMs, std::function<void()> on_list = {},
-            const endpoints::EndpointLimits& limits = endpoints::endpoint_limits(kUsualMemoryBytes));
+            core::Inbox& inbox, BufferPool& buffer_pool, park::Park& event_loop, park::Crew& thread_pool,
+            Way mode = Way::asked, double silence_timeout_ms = kSilenceMs,
+            std::function<void()> on_first_list = {},
+            const endpoints::EndpointLimits& limits = endpoints::endpoint_limits(kDefaultMemoryBytes));
+  // Ends the watch and waits for the thread that opens it.
   ~HostGroup() override;
   HostGroup(const HostGroup&) = delete;
   HostGroup& operator=(const HostGroup&) = delete;
 
-  // While a watch is open or being opened this changes nothing: its outcome is the answer.
+  // Opens a watch. No effect while one is open or being opened: its outcome is the answer.
   void watch() override;
-  // Discovery has another address from here on. The watch goes there at once, and no failure is told: the
-  // module's retry backoff is for what is down, and drains would go unheard meanwhile.
+  // Changes the address of discovery. The watch is opened there at once, and no failure is reported: the
+  // module's retry backoff is for a discovery that is down, and drains would be missed meanwhile. Throws
+  // std::invalid_argument if `discovery` is not an address.
   void move(const std::string& discovery);
+  // The current list as JSON, for sibling processes.
   std::string list() const override;
-  // Of an older or the same sequence it is nothing new; what cannot be read is passed over.
+  // Applies a list from a sibling process if its sequence is higher than the current one. The same sequence
+  // counts only if it is the first to say how old the list is. Text that is not JSON is ignored.
   void hear_list(const std::string& text) override;
-  // As the newest list has it; nullopt where it names no such worker.
+  // The worker's endpoint in the current list; nullopt if the list does not contain it.
   std::optional<Known> find(const std::string& worker) const;
 
  private:
-  void begin();
-  void open();
-  void ready(park::Signs signs) override;
+  void start_call();
+  void open_watch();
+  void ready(park::Signs events) override;
   void late() override;
-  void hear();
+  void process_available_input();
   void on_keep_alive() override;
   void on_update(endpoints::EndpointUpdate&& update) override;
   void on_error(const endpoints::EndpointListError& error) override;
-  [[noreturn]] void throw_ended();
-  void check_begun_anew();
-  void wait_for_bytes();
-  double patience_ms() const;
+  [[noreturn]] void throw_connection_ended();
+  void check_sequence_restart();
+  void delay_next_call();
+  double read_timeout_ms() const;
   static void log_changes(const endpoints::EndpointDelta& delta);
-  // How a watch or a call ended, for what it says of discovery: whether it may have told others since.
-  // own: this machine was short of something, which shows nothing of discovery.
-  enum class Ending { by_discovery, unreachable, refused, silent, unreadable, own };
+  // Why a watch or a call ended, which tells whether discovery may have sent newer lists to others since.
+  // local_error: this machine was short of a resource, which says nothing about discovery.
+  enum class EndReason { closed_by_discovery, unreachable, refused, silent, invalid_list, local_error };
   struct Failure;
-  void end(Ending ending, const std::string& why);
-  void begin_again_soon(const std::string& why);
-  void note_reachability(Ending ending);
+  void end_watch(EndReason reason, const std::string& why);
+  void retry_after_local_error(const std::string& why);
+  void update_as_of(EndReason reason);
   std::optional<woadtide::Micros> as_of() const;
-  void tell_interruption();
-  void tell_first_list();
-  void take(endpoints::EndpointUpdate&& update);
-  void take_older(const endpoints::EndpointUpdate& older);
+  void report_interruption();
+  void notify_first_list();
+  void accept_update(endpoints::EndpointUpdate&& update);
+  void accept_drains_of_older_list(const endpoints::EndpointUpdate& older);
   void apply(endpoints::EndpointUpdate&& update, woadtide::ListKind kind);
 
   core::Clock& clock_;
   core::Inbox& inbox_;
-  BufferPool& pool_;
-  park::Park& park_;
-  park::Crew& crew_;
-  const Way way_;
-  const double silence_ms_;
+  BufferPool& buffer_pool_;
+  park::Park& event_loop_;
+  park::Crew& thread_pool_;
+  const Way mode_;
+  const double silence_timeout_ms_;
   mutable std::mutex mutex_;
-  std::condition_variable opened_;
+  std::condition_variable opening_done_;
   std::string discovery_;
   Address address_;
-  // following: a watch is open, being opened or about to be; opening: a thread of the crew is at it.
-  bool following_ = false, opening_ = false, moved_ = false, stopping_ = false;
-  std::int64_t seq_ = 0;
-  bool any_seq_ = false;               // of another address, or discovery begun anew: whatever it says holds
-  std::optional<double> older_since_;  // only lists of older sequences have come since
-  double unanswered_ms_ = 0;           // asked: how long a call waits for its answer, longer each time
-  double again_ms_ = 0;                // pushed: the gap before the watch is opened again
+  // watching: a watch is open, being opened or scheduled. opening: a pool thread is opening it.
+  bool watching_ = false, opening_ = false, address_changed_ = false, stopping_ = false;
+  std::int64_t sequence_ = 0;
+  bool accept_any_sequence_ = false;   // address changed or sequence restarted: accept any list
+  std::optional<double> older_since_;  // only lists with lower sequence numbers have come since
+  double response_timeout_ms_ = 0;     // on request: response timeout of a call, increased each time
+  double reopen_delay_ms_ = 0;         // push: delay before the watch is reopened
   endpoints::EndpointTable table_;
   endpoints::EndpointListReader reader_;
-  park::Park::Token begins_ = park::Park::kNone, watch_ = park::Park::kNone;
-  Socket socket_;  // of the thread that opens it, then of the park's; shut by others under the mutex
+  park::Park::Token timer_token_ = park::Park::kNone, watch_token_ = park::Park::kNone;
+  Socket socket_;  // used by the opening thread, then by the event loop; shut down by others under the mutex
   std::optional<Intake> intake_;
-  std::optional<BodyDecoder> body_;  // once the answer's head has come
-  std::size_t received_ = 0;         // bytes of the body of this call
-  double heard_at_ = 0;              // when the last whole thing came: a trickle of bytes is no sign of life
-  bool told_ = false;                // its first object has come
-  double called_at_ = 0;             // when the call began that is open
-  // When it was last certain that discovery could tell nothing newer: it was heard, or could not be reached.
+  std::optional<BodyDecoder> body_;      // set once the response head has been read
+  std::size_t body_bytes_received_ = 0;  // of the current call
+  double last_message_at_ = 0;  // time of the last complete message: a trickle of bytes is no sign of life
+  bool list_received_ = false;  // the first object of this watch has been received
+  double call_started_at_ = 0;  // start of the current call
+  // The last time at which discovery certainly had nothing newer for anyone: it was heard, or was
+  // unreachable.
   std::optional<double> as_of_;
-  double not_before_ = 0;     // no call begins sooner: lists came that could not be used
-  int unusable_in_row_ = 0;   // such lists since one was taken
-  int unusable_lists_ = 0;    // in all
-  bool fell_silent_ = false;  // since discovery was last heard: a failed call may be one of too many
-  core::Seldom own_failure_;
-  std::function<void()> on_list_;
+  double no_call_before_ = 0;            // no call starts before this time, after unusable lists
+  int unusable_lists_in_row_ = 0;        // since the last valid list
+  int unusable_lists_ = 0;               // in total
+  bool silent_since_last_list_ = false;  // since the last list: a failed call may be one of too many
+  core::Seldom local_failure_log_;
+  std::function<void()> on_first_list_;
 };
 
 }  // namespace woadtide::net
--- a/src/net/server_links.hpp
+++ b/src/net/server_links.hpp
@@ -24,8 +24,8 @@
 
 namespace woadtide::net {
 
-// Runs executions and probes on workers. All public functions are called by the decision loop except where
-// noted; none blocks, and outcomes are posted to the Inbox.
+// Runs executions and probes on workers. The core::Executor functions are called by the decision loop and do
+// not block; outcomes are posted to the Inbox.
 class ServerLinks : public core::Executor {
  public:
   // Bounds on links; times in ms.
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -127,7 +127,7 @@
   CHECK(drains.entries.at(0).worker == "v");
   CHECK(group.state("w") == WorkerState::draining);
   CHECK(group.state("u") == WorkerState::ready);
-  group.clock.set(group.clock.now() + HostGroup::kOlderMs);
+  group.clock.set(group.clock.now() + HostGroup::kOlderListHoldMs);
   Group::say(watch, "");
   Peer anew = group.watch("0");
   Group::say(anew, line_of(12, true, {host_json("w", "127.0.0.1:1")}));
@@ -303,7 +303,7 @@
 
 // Guards the time that is left for another watch: two lines were due, and the answer to it has to come too.
 TEST_CASE("a watch is silent once two lines were due, whatever trickles in meanwhile") {
-  CHECK(HostGroup::kSilenceMs == 2 * HostGroup::kLineMs);
+  CHECK(HostGroup::kSilenceMs == 2 * HostGroup::kKeepAliveIntervalMs);
   Group group(HostGroup::Way::asked);
   group.hosts.watch();
   Peer first = group.watch("41");
