--- a/src/net/management.cpp
+++ b/src/net/management.cpp
@@ -12,11 +12,12 @@
 namespace woadtide::net {
 
 namespace {
-constexpr std::size_t kMostLine = 512;
-constexpr double kLineMs = 10'000;  // somebody may be typing it; at the edge such a caller gives way at once
-constexpr double kAnswerMs = 1'000;
+constexpr std::size_t kMaxLineBytes = 512;
+// Somebody may be typing the line; when all connections are in use, such a connection is closed sooner.
+constexpr double kLineTimeoutMs = 10'000;
+constexpr double kSendTimeoutMs = 1'000;
 
-std::string_view word_of(std::string_view& text) {
+std::string_view take_word(std::string_view& text) {
   constexpr std::string_view kSpace = " \t\r";
   text.remove_prefix(std::min(text.find_first_not_of(kSpace), text.size()));
   const std::string_view word = text.substr(0, text.find_first_of(kSpace));
@@ -25,118 +26,124 @@
 }
 }  // namespace
 
-Management::Management(Socket listener, const core::Clock& clock, park::Park& park, park::Crew& crew,
-                       Answer answer)
-    : clock_(clock), park_(park), crew_(crew), answer_(std::move(answer)), listener_(std::move(listener)) {
-  // A caller that gave up between the park's word and accept must not block it.
+Management::Management(Socket listener, const core::Clock& clock, park::Park& event_loop,
+                       park::Crew& thread_pool, Answer handler)
+    : clock_(clock),
+      event_loop_(event_loop),
+      thread_pool_(thread_pool),
+      handler_(std::move(handler)),
+      listener_(std::move(listener)) {
+  // A connection that was closed between the notification and accept() must not block accept().
   ::fcntl(listener_.fd(), F_SETFL, O_NONBLOCK);
-  token_ = park_.enter(*this, listener_.fd());
+  token_ = event_loop_.enter(*this, listener_.fd());
 }
 
 Management::~Management() {
-  park_.leave(token_);
-  park_.quiesce();
+  event_loop_.leave(token_);
+  event_loop_.quiesce();
   std::unique_lock lock(mutex_);
-  for (Caller& caller : callers_) caller.socket.shut();
-  left_.wait(lock, [this] { return callers_.empty(); });
+  for (Connection& connection : connections_) connection.socket.shut();
+  connection_closed_.wait(lock, [this] { return connections_.empty(); });
 }
 
 void Management::ready(park::Signs) { late(); }
 
 void Management::late() {
-  while (make_room() && accept_one()) {
+  while (ensure_capacity() && accept_connection()) {
   }
 }
 
-// False where nobody waits, or not now.
-bool Management::accept_one() {
+// Accepts one connection. False if none waits, or none can be accepted now.
+bool Management::accept_connection() {
   Socket socket{Fd(::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
   if (!socket) {
-    const AcceptError why = accept_error(errno);
-    if (why == AcceptError::machine) park_.wake_at(token_, clock_.now() + kAcceptAgainMs);
-    return why == AcceptError::this_one;
+    const AcceptError error = accept_error(errno);
+    if (error == AcceptError::machine) event_loop_.wake_at(token_, clock_.now() + kAcceptAgainMs);
+    return error == AcceptError::this_one;
   }
   const std::lock_guard lock(mutex_);
-  callers_.emplace_back().socket = std::move(socket);
-  const auto caller = std::prev(callers_.end());
-  if (!crew_.take([this, caller] { serve(caller); }, true)) {
-    caller->socket.send_some({"error there is no thread for it now\n"});
-    callers_.erase(caller);
+  connections_.emplace_back().socket = std::move(socket);
+  const auto connection = std::prev(connections_.end());
+  if (!thread_pool_.take([this, connection] { serve(connection); }, true)) {
+    connection->socket.send_some({"error no thread is available\n"});
+    connections_.erase(connection);
   }
   return true;
 }
 
-// False where all places are taken, or nobody waits for one. Where one does, the oldest one that is owed no
-// answer gives way: some keep a link for seconds and say nothing whole, and the next call must not wait for
-// them.
-bool Management::make_room() {
+// True if another connection may be accepted. False if all are in use, or if in that case none waits. If one
+// waits, the oldest connection without a pending answer is closed: some clients keep a connection for seconds
+// without sending a whole line, and the next command must not wait for them.
+bool Management::ensure_capacity() {
   const std::lock_guard lock(mutex_);
-  if (callers_.size() < kMostCallers) return true;
+  if (connections_.size() < kMostCallers) return true;
   if (wait_for(listener_.fd(), POLLIN, -1, 0, clock_).first == 0) return false;
-  crowds_ = true;
-  if (crowded_.due(clock_.now())) core::log_line("management: more callers than places");
-  const auto shed =
-      std::find_if(callers_.begin(), callers_.end(), [](auto& c) { return !c.busy && !c.shed; });
-  const bool one_goes = std::any_of(callers_.begin(), callers_.end(), [](auto& c) { return c.shed; });
-  if (shed != callers_.end() && !one_goes) {
-    shed->shed = true;
-    shed->socket.shut();
+  connection_waiting_ = true;
+  if (full_log_.due(clock_.now())) core::log_line("management: more callers than places");
+  const auto evicted =
+      std::find_if(connections_.begin(), connections_.end(), [](auto& c) { return !c.busy && !c.evicted; });
+  const bool eviction_pending =
+      std::any_of(connections_.begin(), connections_.end(), [](auto& c) { return c.evicted; });
+  if (evicted != connections_.end() && !eviction_pending) {
+    evicted->evicted = true;
+    evicted->socket.shut();
   }
   return false;
 }
 
-void Management::serve(std::list<Caller>::iterator place) {
-  Caller& caller = *place;
+void Management::serve(std::list<Connection>::iterator position) {
+  Connection& connection = *position;
   try {
     std::string line;
-    const bool whole = read_line(caller, line);
-    const std::string answer = whole ? answer_line(line) : "error no whole line came\n";
-    const bool sent = caller.socket.send({answer}, clock_.now() + kAnswerMs, clock_) == Io::done;
-    set_busy(caller, false);
+    const bool complete = read_line(connection, line);
+    const std::string answer = complete ? execute_line(line) : "error incomplete or oversized line\n";
+    const bool sent = connection.socket.send({answer}, clock_.now() + kSendTimeoutMs, clock_) == Io::done;
+    set_busy(connection, false);
     if (sent) {
-      // With bytes unread a close would reset the link and could take the answer along.
-      caller.socket.shut(SHUT_WR);
-      std::array<char, 256> rest{};
-      std::size_t got = 0;
-      const double until = clock_.now() + kAnswerMs;
-      while (caller.socket.receive(rest.data(), rest.size(), got, until, clock_) == Io::done &&
-             clock_.now() < until) {
+      // Closing with unread input would reset the connection and could discard the answer.
+      connection.socket.shut(SHUT_WR);
+      std::array<char, 256> discarded{};
+      std::size_t received = 0;
+      const double deadline = clock_.now() + kSendTimeoutMs;
+      while (connection.socket.receive(discarded.data(), discarded.size(), received, deadline, clock_) ==
+                 Io::done &&
+             clock_.now() < deadline) {
       }
     }
-  } catch (const std::exception& failed) {
-    core::log_line(std::string("management: ") + failed.what());
+  } catch (const std::exception& error) {
+    core::log_line(std::string("management: ") + error.what());
   }
   const std::lock_guard lock(mutex_);
-  callers_.erase(place);
-  if (std::exchange(crowds_, false)) park_.poke(token_, {});
-  left_.notify_all();
+  connections_.erase(position);
+  if (std::exchange(connection_waiting_, false)) event_loop_.poke(token_, {});
+  connection_closed_.notify_all();
 }
 
-// A line that its sender broke off is none: half an id could be another worker's.
-bool Management::read_line(Caller& caller, std::string& line) {
-  const double until = clock_.now() + kLineMs;
-  std::array<char, kMostLine> bytes{};
+// A line without its end is rejected: a truncated id could be that of another worker.
+bool Management::read_line(Connection& connection, std::string& line) {
+  const double deadline = clock_.now() + kLineTimeoutMs;
+  std::array<char, kMaxLineBytes> buffer{};
   for (std::size_t end = std::string::npos; end == std::string::npos; end = line.find('\n')) {
-    std::size_t got = 0;
-    if (line.size() >= kMostLine ||
-        caller.socket.receive(bytes.data(), bytes.size(), got, until, clock_) != Io::done)
+    std::size_t received = 0;
+    if (line.size() >= kMaxLineBytes ||
+        connection.socket.receive(buffer.data(), buffer.size(), received, deadline, clock_) != Io::done)
       return false;
-    line.append(bytes.data(), got);
+    line.append(buffer.data(), received);
   }
   line.resize(line.find('\n'));
-  set_busy(caller, true);
+  set_busy(connection, true);
   return true;
 }
 
-void Management::set_busy(Caller& caller, bool busy) {
+void Management::set_busy(Connection& connection, bool busy) {
   const std::lock_guard lock(mutex_);
-  caller.busy = busy;
+  connection.busy = busy;
 }
 
-std::string Management::answer_line(std::string_view line) const {
-  const std::string_view call = word_of(line), argument = word_of(line);
-  if (!word_of(line).empty()) return "error a call has one argument at most\n";
-  return answer_(call, argument);
+std::string Management::execute_line(std::string_view line) const {
+  const std::string_view command = take_word(line), argument = take_word(line);
+  if (!take_word(line).empty()) return "error a command takes at most one argument\n";
+  return handler_(command, argument);
 }
 
 }  // namespace woadtide::net
--- a/src/net/management.hpp
+++ b/src/net/management.hpp
@@ -1,5 +1,6 @@
-// The second address, where operators call: a line in, an answer out, a link for each call. Apart from client
-// links, with a reserve of threads and descriptors of its own, so that it answers whatever clients do.
+// Management address for operators: one command line in, one answer out, one connection per command. It is
+// separate from client links and has its own reserve of threads and descriptors, so that it answers whatever
+// clients do.
 #pragma once
 
 #include <condition_variable>
@@ -15,42 +16,47 @@
 
 namespace woadtide::net {
 
+// Accepts connections on the management address and answers their commands on threads of the thread pool.
 class Management : private park::Guest {
  public:
-  static constexpr std::size_t kMostCallers = 12;  // descriptors: one for each, and two
-  // Gives the answer to `call` with its argument, if it has one: whole lines.
+  static constexpr std::size_t kMostCallers = 12;  // each needs a descriptor; two more are needed besides
+  // Executes command `call` with its argument, which may be empty, and returns the answer as complete lines.
+  // Called on pool threads.
   using Answer = std::function<std::string(std::string_view call, std::string_view argument)>;
 
-  Management(Socket listener, const core::Clock& clock, park::Park& park, park::Crew& crew, Answer answer);
+  // `listener` is a listening socket. All references must outlive this object.
+  Management(Socket listener, const core::Clock& clock, park::Park& event_loop, park::Crew& thread_pool,
+             Answer handler);
+  // Shuts all connections down and waits for their threads.
   ~Management() override;
   Management(const Management&) = delete;
   Management& operator=(const Management&) = delete;
 
  private:
-  struct Caller {
-    Socket socket;                    // its thread uses it; closed under the mutex
-    bool busy = false, shed = false;  // busy: with a whole line and no answer yet
+  struct Connection {
+    Socket socket;                       // used by its thread; closed under the mutex
+    bool busy = false, evicted = false;  // busy: the command line is complete and its answer is pending
   };
 
-  void ready(park::Signs signs) override;
+  void ready(park::Signs events) override;
   void late() override;
-  bool accept_one();
-  bool make_room();
-  void serve(std::list<Caller>::iterator caller);
-  bool read_line(Caller& caller, std::string& line);
-  void set_busy(Caller& caller, bool busy);
-  std::string answer_line(std::string_view line) const;
+  bool accept_connection();
+  bool ensure_capacity();
+  void serve(std::list<Connection>::iterator connection);
+  bool read_line(Connection& connection, std::string& line);
+  void set_busy(Connection& connection, bool busy);
+  std::string execute_line(std::string_view line) const;
 
   const core::Clock& clock_;
-  park::Park& park_;
-  park::Crew& crew_;
-  const Answer answer_;
+  park::Park& event_loop_;
+  park::Crew& thread_pool_;
+  const Answer handler_;
   Socket listener_;
   std::mutex mutex_;
-  std::condition_variable left_;
-  std::list<Caller> callers_;  // oldest first
-  bool crowds_ = false;        // one waits for a place
-  core::Seldom crowded_;
+  std::condition_variable connection_closed_;
+  std::list<Connection> connections_;  // oldest first
+  bool connection_waiting_ = false;    // a connection waits to be accepted
+  core::Seldom full_log_;
   park::Park::Token token_ = park::Park::kNone;
 };
 
--- a/src/net/succession.cpp
+++ b/src/net/succession.cpp
@@ -20,142 +20,146 @@
 
 namespace {
 
-constexpr std::size_t kMostOutbox = 2'000'000;  // more than all ids that a process remembers
-constexpr std::size_t kMostPeers = 3;
-constexpr std::array<std::string_view, 7> kNames = {"exclude", "include", "query", "told",
-                                                    "ready",   "unready", "list"};
-constexpr std::string_view kVersion = "version";
+constexpr std::size_t kMaxOutboxBytes = 2'000'000;  // more than all ids that a process remembers
+constexpr std::size_t kMaxSiblings = 3;
+constexpr std::array<std::string_view, 7> kMessageNames = {"exclude", "include", "query", "told",
+                                                           "ready",   "unready", "list"};
+constexpr std::string_view kVersionMessage = "version";
 
 }  // namespace
 
-Succession::Succession(const core::Clock& clock, core::Inbox& inbox, park::Park& park,
-                       std::function<void(std::size_t)> shared)
-    : clock_(clock), inbox_(inbox), park_(park), shared_(std::move(shared)) {}
+Succession::Succession(const core::Clock& clock, core::Inbox& inbox, park::Park& event_loop,
+                       std::function<void(std::size_t)> on_process_count)
+    : clock_(clock), inbox_(inbox), event_loop_(event_loop), on_process_count_(std::move(on_process_count)) {}
 
 Succession::~Succession() { end(); }
 
-// What an operator was told `done` for goes out before the link ends.
+// Queued messages are sent before the connection ends: an operator may have been told `done` for them.
 void Succession::end() {
   stopping_ = true;
-  park_.leave(token_);
-  park_.quiesce();
-  std::list<Peer> ended;
+  event_loop_.leave(token_);
+  event_loop_.quiesce();
+  std::list<Sibling> closed;
   {
     const std::lock_guard lock(mutex_);
-    ended.swap(peers_);
-    for (Peer& peer : ended) peer.wake.notify_all();
+    closed.swap(siblings_);
+    for (Sibling& sibling : closed) sibling.wakeup.notify_all();
   }
-  for (Peer& peer : ended) {
-    peer.writer.join();
-    peer.socket.shut();
+  for (Sibling& sibling : closed) {
+    sibling.writer.join();
+    sibling.socket.shut();
   }
 }
 
-// First to whoever listens there, then the place is taken over: the rename leaves no moment without a
-// listener.
+// Connects to the current listener first, then replaces its socket file: the rename leaves no moment without
+// a listener.
 void Succession::meet(const std::string& folder, const std::string& name, double wait_ms) {
-  Socket link = make_unix();
-  const UnixPlace place(folder, name), fresh(folder, name + '.' + std::to_string(::getpid()));
-  if (link && place.call(::connect, link) && peer_of(link) > 0) {
+  Socket connection = make_unix();
+  const UnixPlace socket_path(folder, name), temporary_path(folder, name + '.' + std::to_string(::getpid()));
+  if (connection && socket_path.call(::connect, connection) && peer_of(connection) > 0) {
     core::log_line("upgrade: another process of this dispatcher runs");
-    join(std::move(link));
+    add_sibling(std::move(connection));
   }
-  listener_ = listen_over(place, fresh);
+  listener_ = listen_over(socket_path, temporary_path);
   if (listener_) {
-    token_ = park_.enter(*this, listener_.fd());
+    token_ = event_loop_.enter(*this, listener_.fd());
   } else {
     core::log_line("upgrade: no next process can find this one: " + std::generic_category().message(errno));
   }
   std::unique_lock lock(mutex_);
-  const bool told = news_.wait_for(lock, std::chrono::duration<double, std::milli>(wait_ms), [this] {
-    return std::all_of(peers_.begin(), peers_.end(), [](const Peer& p) { return p.told || p.over; });
-  });
-  const auto unlike = std::find_if(peers_.begin(), peers_.end(), [](const Peer& p) { return p.unlike; });
-  if (unlike != peers_.end())
-    throw std::runtime_error("the process that runs speaks version " + std::to_string(unlike->version) +
-                             " between processes, this one " + std::to_string(core::kKinVersion) +
-                             ": they may be one step apart");
-  if (!told) core::log_line("upgrade: the other process tells nothing; going on without");
+  const bool synchronized =
+      sibling_changed_.wait_for(lock, std::chrono::duration<double, std::milli>(wait_ms), [this] {
+        return std::all_of(siblings_.begin(), siblings_.end(),
+                           [](const Sibling& s) { return s.initial_state_received || s.closed; });
+      });
+  const auto incompatible =
+      std::find_if(siblings_.begin(), siblings_.end(), [](const Sibling& s) { return s.incompatible; });
+  if (incompatible != siblings_.end())
+    throw std::runtime_error("the running process speaks version " + std::to_string(incompatible->version) +
+                             " of the protocol between processes, this one " +
+                             std::to_string(core::kKinVersion) + ": versions may differ by one");
+  if (!synchronized) core::log_line("upgrade: the other process tells nothing; going on without");
 }
 
 void Succession::ready(park::Signs) {
   while (!stopping_) {
-    Socket link{Fd(::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
-    if (!link) {
+    Socket connection{Fd(::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
+    if (!connection) {
       const int error = errno;
-      const AcceptError why = accept_error(error);
-      if (why == AcceptError::this_one) continue;
-      if (why == AcceptError::machine) {
-        if (no_accept_.due(clock_.now()))
+      const AcceptError accept_result = accept_error(error);
+      if (accept_result == AcceptError::this_one) continue;
+      if (accept_result == AcceptError::machine) {
+        if (accept_error_log_.due(clock_.now()))
           core::log_line("upgrade: " + std::generic_category().message(error));
-        park_.wake_at(token_, clock_.now() + kAcceptAgainMs);
+        event_loop_.wake_at(token_, clock_.now() + kAcceptAgainMs);
       }
       return;
     }
-    reap();
-    if (peer_of(link) > 0) join(std::move(link));
+    remove_closed();
+    if (peer_of(connection) > 0) add_sibling(std::move(connection));
   }
 }
 
-void Succession::join(Socket socket) {
+void Succession::add_sibling(Socket socket) {
   {
     const std::lock_guard lock(mutex_);
-    if (peers_.size() == kMostPeers) return;
-    Peer& peer = peers_.emplace_back();
-    peer.socket = std::move(socket);
-    peer.outbox = std::string(kVersion) + ' ' + std::to_string(core::kKinVersion) + '\n';
-    if (ready_) put(peer, {Word::Kind::ready});
+    if (siblings_.size() == kMaxSiblings) return;
+    Sibling& sibling = siblings_.emplace_back();
+    sibling.socket = std::move(socket);
+    sibling.outbox = std::string(kVersionMessage) + ' ' + std::to_string(core::kKinVersion) + '\n';
+    if (accepts_clients_) enqueue(sibling, {Word::Kind::ready});
     alone_ = false;
-    const timeval patience{0, 300'000};  // for a process that reads nothing, as one that was stopped
-    ::setsockopt(peer.socket.fd(), SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
-    peer.writer = park::Thread("kin-writer", [this, &peer] { write(peer); });
-    peer.reader = park::Thread("kin-reader", [this, &peer] { read(peer); });
+    const timeval send_timeout{0, 300'000};  // for a process that does not read, for example a stopped one
+    ::setsockopt(sibling.socket.fd(), SOL_SOCKET, SO_SNDTIMEO, &send_timeout, sizeof send_timeout);
+    sibling.writer = park::Thread("kin-writer", [this, &sibling] { write_messages(sibling); });
+    sibling.reader = park::Thread("kin-reader", [this, &sibling] { read_messages(sibling); });
   }
   inbox_.put(core::KinJoined{});
 }
 
-// Until the other one ends, or its process does.
-void Succession::read(Peer& peer) {
-  shared_(processes());
-  tell_sharers();
-  std::string come;
-  std::array<char, 4096> bytes{};
+// Reads until the connection or the sibling process ends.
+void Succession::read_messages(Sibling& sibling) {
+  on_process_count_(process_count());
+  post_client_sharers();
+  std::string received;
+  std::array<char, 4096> buffer{};
   for (;;) {
-    const ssize_t got = ::recv(peer.socket.fd(), bytes.data(), bytes.size(), 0);
-    if (got < 0 && errno == EINTR) continue;
-    if (got <= 0) break;
-    come.append(bytes.data(), static_cast<std::size_t>(got));
-    std::size_t from = 0;
-    for (std::size_t end; (end = come.find('\n', from)) != std::string::npos; from = end + 1)
-      take(peer, come.substr(from, end - from));
-    come.erase(0, from);
+    const ssize_t count = ::recv(sibling.socket.fd(), buffer.data(), buffer.size(), 0);
+    if (count < 0 && errno == EINTR) continue;
+    if (count <= 0) break;
+    received.append(buffer.data(), static_cast<std::size_t>(count));
+    std::size_t line_start = 0;
+    for (std::size_t end; (end = received.find('\n', line_start)) != std::string::npos; line_start = end + 1)
+      handle_line(sibling, received.substr(line_start, end - line_start));
+    received.erase(0, line_start);
   }
   {
     const std::lock_guard lock(mutex_);
-    peer.over = true;
-    peer.ready = false;
-    alone_ = std::all_of(peers_.begin(), peers_.end(), [](const Peer& p) { return p.over; });
-    peer.wake.notify_all();
-    news_.notify_all();
+    sibling.closed = true;
+    sibling.accepts_clients = false;
+    alone_ = std::all_of(siblings_.begin(), siblings_.end(), [](const Sibling& s) { return s.closed; });
+    sibling.wakeup.notify_all();
+    sibling_changed_.notify_all();
   }
   if (stopping_) return;
   core::log_line("upgrade: the other process has ended");
-  shared_(processes());
-  tell_sharers();
+  on_process_count_(process_count());
+  post_client_sharers();
 }
 
-void Succession::write(Peer& peer) {
+void Succession::write_messages(Sibling& sibling) {
   std::unique_lock lock(mutex_);
-  while (!peer.over) {
-    peer.wake.wait(lock, [&] { return peer.over || stopping_ || !peer.outbox.empty(); });
-    if (peer.outbox.empty()) break;
-    const std::string out = std::exchange(peer.outbox, {});
+  while (!sibling.closed) {
+    sibling.wakeup.wait(lock, [&] { return sibling.closed || stopping_ || !sibling.outbox.empty(); });
+    if (sibling.outbox.empty()) break;
+    const std::string batch = std::exchange(sibling.outbox, {});
     lock.unlock();
-    for (std::size_t sent = 0; sent < out.size();) {
-      const ssize_t count = ::send(peer.socket.fd(), out.data() + sent, out.size() - sent, MSG_NOSIGNAL);
+    for (std::size_t sent = 0; sent < batch.size();) {
+      const ssize_t count =
+          ::send(sibling.socket.fd(), batch.data() + sent, batch.size() - sent, MSG_NOSIGNAL);
       if (count < 0 && errno == EINTR) continue;
-      if (count <= 0) {  // its reader sees the end
-        peer.socket.shut();
+      if (count <= 0) {  // the reader handles the end
+        sibling.socket.shut();
         break;
       }
       sent += static_cast<std::size_t>(count);
@@ -164,97 +168,104 @@
   }
 }
 
-void Succession::take(Peer& peer, const std::string& line) {
+void Succession::handle_line(Sibling& sibling, const std::string& line) {
   const std::size_t space = std::min(line.find(' '), line.size());
-  if (line.substr(0, space) == kVersion)
-    return meet_version(peer, line.substr(std::min(space + 1, line.size())));
-  const auto name = std::find(kNames.begin(), kNames.end(), std::string_view(line).substr(0, space));
-  if (name == kNames.end()) return;  // another version's
-  Word word{static_cast<Word::Kind>(name - kNames.begin()), line.substr(std::min(space + 1, line.size()))};
+  if (line.substr(0, space) == kVersionMessage)
+    return check_version(sibling, line.substr(std::min(space + 1, line.size())));
+  const auto name =
+      std::find(kMessageNames.begin(), kMessageNames.end(), std::string_view(line).substr(0, space));
+  if (name == kMessageNames.end()) return;  // a message of another protocol version
+  Word message{static_cast<Word::Kind>(name - kMessageNames.begin()),
+               line.substr(std::min(space + 1, line.size()))};
   std::unique_lock lock(mutex_);
-  switch (word.kind) {
+  switch (message.kind) {
     case Word::Kind::told:
-      peer.told = true;
-      news_.notify_all();
+      sibling.initial_state_received = true;
+      sibling_changed_.notify_all();
       return;
     case Word::Kind::ready:
     case Word::Kind::unready:
-      peer.ready = word.kind == Word::Kind::ready;
+      sibling.accepts_clients = message.kind == Word::Kind::ready;
       lock.unlock();
-      return tell_sharers();
+      return post_client_sharers();
     case Word::Kind::exclude:
     case Word::Kind::include:
     case Word::Kind::query:
     case Word::Kind::list:
       break;
   }
-  for (Peer& other : peers_)
-    if (&other != &peer) put(other, word);
+  for (Sibling& other : siblings_)
+    if (&other != &sibling) enqueue(other, message);
   lock.unlock();
-  inbox_.put(core::KinSaid{std::move(word)});
+  inbox_.put(core::KinSaid{std::move(message)});
 }
 
-// One that says none is of the version before there were any. More than a step apart neither knows what the
-// other one's words leave out: the link ends, and who came second does not start.
-void Succession::meet_version(Peer& peer, const std::string& text) {
+// A sibling that sends no version has protocol version 1. With versions more than one apart neither process
+// knows what the messages of the other leave out: the connection is closed, and the process that started
+// later does not start.
+void Succession::check_version(Sibling& sibling, const std::string& version_text) {
   int version = 0;
-  std::from_chars(text.data(), text.data() + text.size(), version);
+  std::from_chars(version_text.data(), version_text.data() + version_text.size(), version);
   if (std::abs(version - core::kKinVersion) <= 1) return;
   core::log_line("upgrade: refused: the other process speaks version " + std::to_string(version) +
                  ", this one " + std::to_string(core::kKinVersion));
   const std::lock_guard lock(mutex_);
-  peer.version = version;
-  peer.unlike = true;
-  peer.socket.shut();
+  sibling.version = version;
+  sibling.incompatible = true;
+  sibling.socket.shut();
 }
 
-void Succession::put(Peer& peer, const Word& word) {
-  if (peer.over) return;
-  if (peer.outbox.size() > kMostOutbox) return peer.socket.shut();  // it reads nothing: as good as ended
-  peer.outbox.append(kNames[static_cast<std::size_t>(word.kind)]);
-  if (!word.id.empty()) peer.outbox.append(" ").append(word.id);
-  peer.outbox.push_back('\n');
-  peer.wake.notify_all();
+void Succession::enqueue(Sibling& sibling, const Word& message) {
+  if (sibling.closed) return;
+  if (sibling.outbox.size() > kMaxOutboxBytes)
+    return sibling.socket.shut();  // it does not read: treated as closed
+  sibling.outbox.append(kMessageNames[static_cast<std::size_t>(message.kind)]);
+  if (!message.id.empty()) sibling.outbox.append(" ").append(message.id);
+  sibling.outbox.push_back('\n');
+  sibling.wakeup.notify_all();
 }
 
-void Succession::tell(const Word& word) {
+void Succession::tell(const Word& message) {
   if (alone_) return;
   const std::lock_guard lock(mutex_);
-  for (Peer& peer : peers_) put(peer, word);
+  for (Sibling& sibling : siblings_) enqueue(sibling, message);
 }
 
-void Succession::set_ready(bool ready) {
+void Succession::set_ready(bool accepts_clients) {
   const std::lock_guard lock(mutex_);
-  ready_ = ready;
-  for (Peer& peer : peers_) put(peer, {ready ? Word::Kind::ready : Word::Kind::unready});
+  accepts_clients_ = accepts_clients;
+  for (Sibling& sibling : siblings_)
+    enqueue(sibling, {accepts_clients ? Word::Kind::ready : Word::Kind::unready});
 }
 
 bool Succession::other_ready() {
   const std::lock_guard lock(mutex_);
-  return std::any_of(peers_.begin(), peers_.end(), [](const Peer& p) { return p.ready; });
+  return std::any_of(siblings_.begin(), siblings_.end(), [](const Sibling& s) { return s.accepts_clients; });
 }
 
-std::size_t Succession::processes() {
+std::size_t Succession::process_count() {
   const std::lock_guard lock(mutex_);
-  const auto live = std::count_if(peers_.begin(), peers_.end(), [](const Peer& p) { return !p.over; });
-  return 1 + static_cast<std::size_t>(live);
+  const auto open_count =
+      std::count_if(siblings_.begin(), siblings_.end(), [](const Sibling& s) { return !s.closed; });
+  return 1 + static_cast<std::size_t>(open_count);
 }
 
-// One that takes no clients any more has next to nothing left to send: its turns at cold workers go to the
-// others. Itself a process always counts.
-void Succession::tell_sharers() {
+// A process that no longer accepts clients has next to nothing left to send, so its share of requests to cold
+// workers goes to the others. A process always counts itself.
+void Succession::post_client_sharers() {
   const std::lock_guard lock(mutex_);
-  const auto others = std::count_if(peers_.begin(), peers_.end(), [](const Peer& p) { return p.ready; });
-  inbox_.put(core::Sharers{1 + static_cast<int>(others)});
+  const auto accepting_siblings =
+      std::count_if(siblings_.begin(), siblings_.end(), [](const Sibling& s) { return s.accepts_clients; });
+  inbox_.put(core::Sharers{1 + static_cast<int>(accepting_siblings)});
 }
 
-// Threads are joined outside the mutex, which they need for their end.
-void Succession::reap() {
-  std::list<Peer> ended;
+// The threads are joined after the mutex is released, since they need it to end.
+void Succession::remove_closed() {
+  std::list<Sibling> closed;
   const std::lock_guard lock(mutex_);
-  for (auto it = peers_.begin(); it != peers_.end();) {
+  for (auto it = siblings_.begin(); it != siblings_.end();) {
     const auto next = std::next(it);
-    if (it->over) ended.splice(ended.end(), peers_, it);
+    if (it->closed) closed.splice(closed.end(), siblings_, it);
     it = next;
   }
 }
--- a/src/net/succession.hpp
+++ b/src/net/succession.hpp
@@ -1,7 +1,7 @@
-// The other process of this dispatcher, where there is one: in an upgrade the next one starts beside the one
-// that runs. They meet at a Unix socket in a folder that both have, and live together as long as the link
-// between them stands. The kernel ends it for a process that was killed too, and refuses a connect to what it
-// left behind.
+// Hot restart: connects this process to its sibling process, if there is one. In an upgrade the next process
+// starts while the old one runs. They meet at a Unix socket in a shared folder and exchange state as long as
+// the connection between them lasts. The kernel closes it for a process that was killed too, and refuses a
+// connect to the socket file that such a process left behind.
 #pragma once
 
 #include <atomic>
@@ -18,61 +18,67 @@
 
 namespace woadtide::net {
 
+// Exchanges state with the sibling processes of this dispatcher. tell(), alone(), set_ready() and
+// other_ready() may be called from any thread.
 class Succession : public core::Kin, private park::Guest {
  public:
-  // `shared` is called with the number of processes, this one counted, when that has changed.
-  Succession(const core::Clock& clock, core::Inbox& inbox, park::Park& park,
-             std::function<void(std::size_t processes)> shared);
+  // `on_process_count` is called with the number of processes, this one included, when it has changed.
+  Succession(const core::Clock& clock, core::Inbox& inbox, park::Park& event_loop,
+             std::function<void(std::size_t process_count)> on_process_count);
+  // Calls end().
   ~Succession() override;
   Succession(const Succession&) = delete;
   Succession& operator=(const Succession&) = delete;
 
-  // Meets whoever runs already, and can be found from here on, in `folder`. Waits, `wait_ms` at the longest,
-  // until the other one has told what this one must know. Throws std::runtime_error where that one speaks a
-  // version that is more than a step away.
+  // Connects to the process that already runs, and listens for later ones, in `folder`. Waits for at most
+  // `wait_ms` ms until the other process has sent its initial state. Throws std::runtime_error if the other
+  // process speaks a protocol version that differs by more than one.
   void meet(const std::string& folder, const std::string& name, double wait_ms);
-  // Leaves the others, and calls `shared` no more.
+  // Closes the connections to all siblings; `on_process_count` is not called afterwards.
   void end();
-  void tell(const core::Word& word) override;
+  // Sends a message to all siblings; it does not block.
+  void tell(const core::Word& message) override;
+  // Whether there is no sibling to send to.
   bool alone() const override { return alone_; }
-  // Whether this process takes clients; also told to processes that come later.
-  void set_ready(bool ready);
-  // Another one does.
+  // Sets whether this process accepts clients; siblings are told, also those that connect later.
+  void set_ready(bool accepts_clients);
+  // Whether any sibling accepts clients.
   bool other_ready();
 
  private:
-  struct Peer {
+  // The connection to one sibling process.
+  struct Sibling {
     Socket socket;
-    bool ready = false, told = false, over = false;
-    bool unlike = false;  // more than one version apart
+    bool accepts_clients = false, initial_state_received = false, closed = false;
+    bool incompatible = false;  // protocol versions differ by more than one
     int version = 1;
-    std::string outbox;  // what is to be written next
-    std::condition_variable wake;
-    park::Thread reader, writer;  // last: they use all the others
+    std::string outbox;  // bytes to be sent
+    std::condition_variable wakeup;
+    park::Thread reader, writer;  // last: they use all other members
   };
 
-  void ready(park::Signs signs) override;
+  void ready(park::Signs events) override;
   void late() override { ready({}); }
-  void join(Socket socket);
-  void read(Peer& peer);
-  void write(Peer& peer);
-  void take(Peer& peer, const std::string& line);
-  void meet_version(Peer& peer, const std::string& text);
-  void put(Peer& peer, const core::Word& word);
-  void reap();
-  std::size_t processes();
-  void tell_sharers();
+  void add_sibling(Socket socket);
+  void read_messages(Sibling& sibling);
+  void write_messages(Sibling& sibling);
+  void handle_line(Sibling& sibling, const std::string& line);
+  void check_version(Sibling& sibling, const std::string& version_text);
+  void enqueue(Sibling& sibling, const core::Word& message);
+  void remove_closed();
+  std::size_t process_count();
+  void post_client_sharers();
 
   const core::Clock& clock_;
   core::Inbox& inbox_;
-  park::Park& park_;
-  const std::function<void(std::size_t)> shared_;
+  park::Park& event_loop_;
+  const std::function<void(std::size_t)> on_process_count_;
   std::mutex mutex_;
-  std::condition_variable news_;
-  std::list<Peer> peers_;
+  std::condition_variable sibling_changed_;
+  std::list<Sibling> siblings_;
   std::atomic<bool> alone_{true}, stopping_{false};
-  bool ready_ = false;
-  core::Seldom no_accept_;
+  bool accepts_clients_ = false;
+  core::Seldom accept_error_log_;
   Socket listener_;
   park::Park::Token token_ = park::Park::kNone;
 };
--- a/tests/succession_test.cpp
+++ b/tests/succession_test.cpp
@@ -237,7 +237,8 @@
     } else {
       CHECK_THROWS_WITH_AS(
           platform.start(hosts),
-          "the process that runs speaks version 4 between processes, this one 2: they may be one step apart",
+          "the running process speaks version 4 of the protocol between processes, this one 2: versions may "
+          "differ by one",
           std::runtime_error);
     }
     over = true;
