--- a/src/net/line_call.cpp
+++ b/src/net/line_call.cpp
@@ -14,63 +14,66 @@
 
 namespace {
 
-constexpr std::size_t kMostAnswer = 4'000'000;
+constexpr std::size_t kMaxAnswerBytes = 4'000'000;
 
-struct Going {
+struct ActiveCall {
   LineCall* call;
   Socket socket;
-  std::string rest, come;  // to be written; come so far
-  bool over = false;
+  std::string unsent, received;  // bytes to be written; bytes received
+  bool closed = false;
 
-  explicit Going(LineCall& what) : call(&what), rest(what.line + '\n') {
-    const Address address(what.to);
+  explicit ActiveCall(LineCall& line_call) : call(&line_call), unsent(line_call.line + '\n') {
+    const Address address(line_call.to);
     socket = Socket::make(address);
     ::fcntl(socket.fd(), F_SETFL, O_NONBLOCK);
-    over = ::connect(socket.fd(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0 &&
-           errno != EINPROGRESS;
+    closed =
+        ::connect(socket.fd(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0 &&
+        errno != EINPROGRESS;
   }
-  void go_on(short signs) {
-    if (!rest.empty() && (signs & POLLOUT)) rest.erase(0, socket.send_some({rest}));
-    if (!(signs & (POLLIN | POLLHUP | POLLERR))) return;
-    std::array<char, 16 * 1024> some{};
-    std::size_t got = 0;
-    Io io = Io::done;
-    while ((io = socket.receive(some.data(), some.size(), got)) == Io::done) come.append(some.data(), got);
-    over = io != Io::late || come.size() > kMostAnswer;
-    // Whoever answers ends its side then: what was cut off before has no last end of line.
-    if (io == Io::ended && !come.empty() && come.back() == '\n') {
-      come.pop_back();
-      call->answer = std::move(come);
+  void handle_events(short events) {
+    if (!unsent.empty() && (events & POLLOUT)) unsent.erase(0, socket.send_some({unsent}));
+    if (!(events & (POLLIN | POLLHUP | POLLERR))) return;
+    std::array<char, 16 * 1024> buffer{};
+    std::size_t count = 0;
+    Io status = Io::done;
+    while ((status = socket.receive(buffer.data(), buffer.size(), count)) == Io::done)
+      received.append(buffer.data(), count);
+    closed = status != Io::late || received.size() > kMaxAnswerBytes;
+    // The server closes its side after the answer; a truncated answer has no line end at its end.
+    if (status == Io::ended && !received.empty() && received.back() == '\n') {
+      received.pop_back();
+      call->answer = std::move(received);
     }
   }
 };
 
 }  // namespace
 
-void call_all(std::vector<LineCall>& calls, double within_ms, std::size_t at_once) {
+void call_all(std::vector<LineCall>& calls, double timeout_ms, std::size_t max_parallel) {
   const core::Clock clock;
-  const double until = clock.now() + within_ms;
-  std::list<Going> going;
-  for (std::size_t next = 0; next < calls.size() || !going.empty();) {
-    while (next < calls.size() && going.size() < at_once) going.emplace_back(calls[next++]);
-    std::vector<pollfd> all;
-    for (const Going& one : going)
-      all.push_back({one.socket.fd(), static_cast<short>(one.rest.empty() ? POLLIN : POLLIN | POLLOUT), 0});
-    const double left = until - clock.now();
-    if (left <= 0) return;
-    ::poll(all.data(), all.size(), static_cast<int>(std::min(left, 1'000.0)) + 1);
-    std::size_t place = 0;
-    for (Going& one : going) {
-      const short signs = all[place++].revents;
-      if (!one.over && signs != 0) one.go_on(signs);
+  const double deadline = clock.now() + timeout_ms;
+  std::list<ActiveCall> active;
+  for (std::size_t next = 0; next < calls.size() || !active.empty();) {
+    while (next < calls.size() && active.size() < max_parallel) active.emplace_back(calls[next++]);
+    std::vector<pollfd> poll_fds;
+    for (const ActiveCall& active_call : active)
+      poll_fds.push_back({active_call.socket.fd(),
+                          static_cast<short>(active_call.unsent.empty() ? POLLIN : POLLIN | POLLOUT), 0});
+    const double remaining_ms = deadline - clock.now();
+    if (remaining_ms <= 0) return;
+    ::poll(poll_fds.data(), poll_fds.size(), static_cast<int>(std::min(remaining_ms, 1'000.0)) + 1);
+    std::size_t index = 0;
+    for (ActiveCall& active_call : active) {
+      const short events = poll_fds[index++].revents;
+      if (!active_call.closed && events != 0) active_call.handle_events(events);
     }
-    going.remove_if([](const Going& one) { return one.over; });
+    active.remove_if([](const ActiveCall& active_call) { return active_call.closed; });
   }
 }
 
-std::optional<std::string> call(const std::string& to, const std::string& line, double within_ms) {
+std::optional<std::string> call(const std::string& to, const std::string& line, double timeout_ms) {
   std::vector<LineCall> calls{{to, line, std::nullopt}};
-  call_all(calls, within_ms);
+  call_all(calls, timeout_ms);
   return calls.front().answer;
 }
 
--- a/src/net/line_call.hpp
+++ b/src/net/line_call.hpp
@@ -1,5 +1,5 @@
-// One line to an address, and all that comes back: how the second address and control addresses are called.
-// Many at once, each within its time, without a thread.
+// Client for the line protocol of management and control addresses: sends one line and reads the whole
+// answer. Makes many calls in parallel with one deadline, without additional threads.
 #pragma once
 
 #include <optional>
@@ -10,13 +10,16 @@
 
 namespace woadtide::net {
 
+// A call with its answer.
 struct LineCall {
   std::string to, line;               // host:port; the line without its end
-  std::optional<std::string> answer;  // without its last end of line; nothing: it did not come whole in time
+  std::optional<std::string> answer;  // without its last line end; nullopt if it was not complete in time
 };
 
-// All of them, `at_once` at a time.
-void call_all(std::vector<LineCall>& calls, double within_ms, std::size_t at_once = 64);
-std::optional<std::string> call(const std::string& to, const std::string& line, double within_ms);
+// Makes all calls, at most `max_parallel` at a time, and fills in the answers that are complete within
+// `timeout_ms` ms in total.
+void call_all(std::vector<LineCall>& calls, double timeout_ms, std::size_t max_parallel = 64);
+// Makes a single call; nullopt if no complete answer came within `timeout_ms` ms.
+std::optional<std::string> call(const std::string& to, const std::string& line, double timeout_ms);
 
 }  // namespace woadtide::net
--- a/src/net/succession.cpp
+++ b/src/net/succession.cpp
@@ -56,7 +56,7 @@
 void Succession::meet(const std::string& folder, const std::string& name, double wait_ms) {
   Socket connection = make_unix();
   const UnixPlace socket_path(folder, name), temporary_path(folder, name + '.' + std::to_string(::getpid()));
-  if (connection && socket_path.call(::connect, connection) && peer_of(connection) > 0) {
+  if (connection && socket_path.call(::connect, connection) && peer_pid(connection) > 0) {
     core::log_line("upgrade: another process of this dispatcher runs");
     add_sibling(std::move(connection));
   }
@@ -96,7 +96,7 @@
       return;
     }
     remove_closed();
-    if (peer_of(connection) > 0) add_sibling(std::move(connection));
+    if (peer_pid(connection) > 0) add_sibling(std::move(connection));
   }
 }
 
--- a/src/net/tether.cpp
+++ b/src/net/tether.cpp
@@ -16,54 +16,57 @@
 
 namespace {
 
-std::pair<std::string, std::string> parts_of(const std::string& path) {
+std::pair<std::string, std::string> split_path(const std::string& path) {
   const std::size_t slash = path.rfind('/');
   if (slash == std::string::npos) return {".", path};
   return {path.substr(0, slash), path.substr(slash + 1)};
 }
 
-// A message with room for one descriptor beside its text.
-struct WithDescriptor {
-  WithDescriptor(char* text, std::size_t size) : bytes{text, size} {
+// A message with its text and room for one descriptor.
+struct DescriptorMessage {
+  DescriptorMessage(char* text, std::size_t size) : bytes{text, size} {
     message.msg_iov = &bytes;
     message.msg_iovlen = 1;
-    message.msg_control = room.data();
-    message.msg_controllen = room.size();
+    message.msg_control = control.data();
+    message.msg_controllen = control.size();
   }
-  WithDescriptor(const WithDescriptor&) = delete;
-  WithDescriptor& operator=(const WithDescriptor&) = delete;
+  DescriptorMessage(const DescriptorMessage&) = delete;
+  DescriptorMessage& operator=(const DescriptorMessage&) = delete;
   iovec bytes;
-  alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> room{};
+  alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> control{};
   msghdr message{};
 };
 
-// A line and a descriptor go in one message, so that both come or none.
-bool tell(const Socket& to, const std::string& line, int descriptor) {
+// Line and descriptor are sent in one message, so that both arrive or neither does.
+bool send_line_and_descriptor(const Socket& connection, const std::string& line, int descriptor) {
   std::string text = line + '\n';
-  WithDescriptor sent(text.data(), text.size());
-  msghdr& message = sent.message;
+  DescriptorMessage outgoing(text.data(), text.size());
+  msghdr& message = outgoing.message;
   cmsghdr* const head = CMSG_FIRSTHDR(&message);
   head->cmsg_level = SOL_SOCKET;
   head->cmsg_type = SCM_RIGHTS;
   head->cmsg_len = CMSG_LEN(sizeof(int));
   std::memcpy(CMSG_DATA(head), &descriptor, sizeof descriptor);
-  return ::sendmsg(to.fd(), &message, MSG_NOSIGNAL | MSG_DONTWAIT) == static_cast<ssize_t>(text.size());
+  return ::sendmsg(connection.fd(), &message, MSG_NOSIGNAL | MSG_DONTWAIT) ==
+         static_cast<ssize_t>(text.size());
 }
 
 }  // namespace
 
-Tether::Tether(park::Park& park, const std::string& path, std::string line, Socket passed)
-    : park_(park), line_(std::move(line)), passed_(std::move(passed)) {
-  const auto [folder, name] = parts_of(path);
+Tether::Tether(park::Park& event_loop, const std::string& path, std::string status_line, Socket passed_socket)
+    : event_loop_(event_loop),
+      status_line_(std::move(status_line)),
+      passed_socket_(std::move(passed_socket)) {
+  const auto [folder, name] = split_path(path);
   listener_ =
       listen_over(UnixPlace(folder, name), UnixPlace(folder, name + '.' + std::to_string(::getpid())));
   if (!listener_) throw std::system_error(errno, std::generic_category(), path);
-  token_ = park_.enter(*this, listener_.fd());
+  token_ = event_loop_.enter(*this, listener_.fd());
 }
 
 Tether::~Tether() {
-  park_.leave(token_);
-  park_.quiesce();
+  event_loop_.leave(token_);
+  event_loop_.quiesce();
 }
 
 void Tether::ready(park::Signs) {
@@ -71,51 +74,54 @@
     Socket caller{Fd(::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
     if (!caller) {
       const int error = errno;
-      const AcceptError why = accept_error(error);
-      if (why == AcceptError::this_one) continue;
-      if (why == AcceptError::machine) {
-        if (no_accept_.due(clock_.now())) core::log_line("tether: " + std::generic_category().message(error));
-        park_.wake_at(token_, clock_.now() + kAcceptAgainMs);
+      const AcceptError accept_result = accept_error(error);
+      if (accept_result == AcceptError::this_one) continue;
+      if (accept_result == AcceptError::machine) {
+        if (accept_error_log_.due(clock_.now()))
+          core::log_line("tether: " + std::generic_category().message(error));
+        event_loop_.wake_at(token_, clock_.now() + kAcceptAgainMs);
       }
       return;
     }
     const std::lock_guard lock(mutex_);
-    if (!passed_ || peer_of(caller) == 0 || !tell(caller, line_, passed_.fd())) continue;
-    if (callers_.size() == kMostCallers) callers_.pop_front();
-    callers_.push_back(std::move(caller));
+    if (!passed_socket_ || peer_pid(caller) == 0 ||
+        !send_line_and_descriptor(caller, status_line_, passed_socket_.fd()))
+      continue;
+    if (connections_.size() == kMostCallers) connections_.pop_front();
+    connections_.push_back(std::move(caller));
   }
 }
 
 void Tether::stop_passing() {
   const std::lock_guard lock(mutex_);
-  passed_ = Socket();
+  passed_socket_ = Socket();
 }
 
-Tethered reach(const std::string& path, double wait_ms) {
-  Tethered reached;
-  const auto [folder, name] = parts_of(path);
+Tethered reach(const std::string& path, double timeout_ms) {
+  Tethered result;
+  const auto [folder, name] = split_path(path);
   Socket link = make_unix();
   if (!link || !UnixPlace(folder, name).call(::connect, link)) return {};
-  reached.pid = peer_of(link);
-  const timeval patience{static_cast<time_t>(wait_ms / 1'000),
-                         static_cast<suseconds_t>(wait_ms * 1'000) % 1'000'000};
-  ::setsockopt(link.fd(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  result.pid = peer_pid(link);
+  const timeval receive_timeout{static_cast<time_t>(timeout_ms / 1'000),
+                                static_cast<suseconds_t>(timeout_ms * 1'000) % 1'000'000};
+  ::setsockopt(link.fd(), SOL_SOCKET, SO_RCVTIMEO, &receive_timeout, sizeof receive_timeout);
   std::array<char, 4096> text{};
-  WithDescriptor come(text.data(), text.size());
-  msghdr& message = come.message;
-  ssize_t got = 0;
-  do got = ::recvmsg(link.fd(), &message, MSG_CMSG_CLOEXEC);
-  while (got < 0 && errno == EINTR);
-  const cmsghdr* const head = got > 0 ? CMSG_FIRSTHDR(&message) : nullptr;
+  DescriptorMessage received(text.data(), text.size());
+  msghdr& message = received.message;
+  ssize_t byte_count = 0;
+  do byte_count = ::recvmsg(link.fd(), &message, MSG_CMSG_CLOEXEC);
+  while (byte_count < 0 && errno == EINTR);
+  const cmsghdr* const head = byte_count > 0 ? CMSG_FIRSTHDR(&message) : nullptr;
   if (!head || head->cmsg_type != SCM_RIGHTS || head->cmsg_len != CMSG_LEN(sizeof(int))) return {};
   int descriptor = -1;
   std::memcpy(&descriptor, CMSG_DATA(head), sizeof descriptor);
-  reached.listener = Socket{Fd(descriptor)};
-  reached.line.assign(text.data(), static_cast<std::size_t>(got));
-  if (reached.pid == 0 || reached.line.back() != '\n') return {};
-  reached.line.pop_back();
-  reached.link = std::move(link);
-  return reached;
+  result.listener = Socket{Fd(descriptor)};
+  result.line.assign(text.data(), static_cast<std::size_t>(byte_count));
+  if (result.pid == 0 || result.line.back() != '\n') return {};
+  result.line.pop_back();
+  result.link = std::move(link);
+  return result;
 }
 
 }  // namespace woadtide::net
--- a/src/net/tether.hpp
+++ b/src/net/tether.hpp
@@ -1,6 +1,7 @@
-// A Unix socket by which whoever supervises this process finds it again: each caller of the same user is told
-// one line, and is passed the socket where clients connect. The link stays, and ends with the process however
-// that ends. Knows neither what the line says nor what the caller does with it.
+// Control socket: a Unix socket through which a supervisor finds this process again. Each caller of the same
+// user receives one line and the descriptor of the socket where clients connect. The connection stays open
+// and ends with the process, however that ends. The contents of the line and the caller's purpose are unknown
+// here.
 #pragma once
 
 #include <list>
@@ -12,42 +13,45 @@
 
 namespace woadtide::net {
 
+// Listens on the control socket and passes a status line and the client listener to each caller.
 class Tether : private park::Guest {
  public:
+  // Open connections at once.
   static constexpr std::size_t kMostCallers = 4;
-  // `line`: without its end. Throws std::system_error where it cannot listen.
-  Tether(park::Park& park, const std::string& path, std::string line, Socket passed);
+  // Listens at `path`. `status_line` has no line end. Throws std::system_error if it cannot listen.
+  Tether(park::Park& event_loop, const std::string& path, std::string status_line, Socket passed_socket);
   ~Tether() override;
   Tether(const Tether&) = delete;
   Tether& operator=(const Tether&) = delete;
 
-  // From here on nothing is passed: new callers are sent away, links stay. Where this process was the last
-  // that held the passed socket, nobody listens at it any more.
+  // Stops passing the socket: new callers are rejected, existing connections stay. If this process was the
+  // last to hold the passed socket, nobody listens on it any more.
   void stop_passing();
 
  private:
-  void ready(park::Signs signs) override;
+  void ready(park::Signs events) override;
   void late() override { ready({}); }
 
   const core::Clock clock_;
-  core::Seldom no_accept_;
-  park::Park& park_;
-  const std::string line_;
+  core::Seldom accept_error_log_;
+  park::Park& event_loop_;
+  const std::string status_line_;
   std::mutex mutex_;
-  Socket passed_;
+  Socket passed_socket_;
   Socket listener_;
-  std::list<Socket> callers_;  // the oldest gives way
+  std::list<Socket> connections_;  // at most kMostCallers; the oldest is closed first
   park::Park::Token token_;
 };
 
-// The caller's side: what the process behind `path` says of itself.
+// The caller's side: what the process behind a control socket sent.
 struct Tethered {
-  Socket link;      // readable when the process has ended
+  Socket link;      // readable once the process has ended
   Socket listener;  // where clients connect
   std::string line;
-  int pid = 0;  // by the kernel's word
+  int pid = 0;  // reported by the kernel
 };
-// Without a link: nobody is there, or it is another user's, or it said nothing whole within `wait_ms`.
-Tethered reach(const std::string& path, double wait_ms);
+// Connects to the control socket at `path`. The result has no link if nobody listens, the peer runs as
+// another user, or no complete line came within `timeout_ms` ms.
+Tethered reach(const std::string& path, double timeout_ms);
 
 }  // namespace woadtide::net
--- a/src/net/unix_socket.hpp
+++ b/src/net/unix_socket.hpp
@@ -1,4 +1,4 @@
-// Unix sockets by a path of any length, between processes of one user.
+// Unix domain sockets with paths of any length, for processes of one user.
 #pragma once
 
 #include <sys/socket.h>
@@ -11,26 +11,31 @@
 
 namespace woadtide::net {
 
-// A folder's path may be longer than a socket's may be: then it goes by its descriptor.
+// The address of a Unix socket. If the path is longer than sockaddr_un allows, it is expressed by a
+// descriptor of its folder.
 struct UnixPlace {
+  // Opens `folder` if the path is too long for sockaddr_un.
   UnixPlace(const std::string& folder, const std::string& name);
-  template <class Call>
-  bool call(Call&& use, const Socket& socket) const {
+  // Calls `function` (::bind or ::connect) with the address. False if the path is too long or the call fails.
+  template <class Function>
+  bool call(Function&& function, const Socket& socket) const {
     sockaddr_un address{};
     address.sun_family = AF_UNIX;
     if (path.size() >= sizeof address.sun_path) return false;
     std::memcpy(address.sun_path, path.c_str(), path.size() + 1);
-    return use(socket.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
+    return function(socket.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
   }
   std::string path;
-  Fd held;
+  Fd folder_fd;
 };
 
+// An unconnected stream socket; empty on failure.
 Socket make_unix();
-// The process at the other end, 0 where it is another user's: a folder for all could hold one.
-int peer_of(const Socket& socket);
-// Listens at `place`, without a moment in which nobody listens there if somebody did: `fresh` is renamed over
-// it. Empty where it cannot; errno says why.
-Socket listen_over(const UnixPlace& place, const UnixPlace& fresh);
+// The process id of the peer; 0 if the peer runs as another user, as a shared folder could hold such a
+// socket.
+int peer_pid(const Socket& socket);
+// Listens at `path` by renaming the socket `temporary` over it, so that a previous listener is replaced
+// without a gap. Returns an empty Socket on failure, with the reason in errno.
+Socket listen_over(const UnixPlace& path, const UnixPlace& temporary);
 
 }  // namespace woadtide::net
--- a/src/net/worker_asks.cpp
+++ b/src/net/worker_asks.cpp
@@ -8,16 +8,20 @@
 
 namespace woadtide::net {
 
-WorkerAsks::WorkerAsks(const HostGroup& hosts, core::Clock& clock, double patience_ms, Take take)
-    : hosts_(hosts), clock_(clock), patience_ms_(patience_ms), take_(std::move(take)) {
-  for (std::size_t i = 0; i < kThreads; ++i) threads_.emplace_back("asks", [this] { run(); });
+WorkerAsks::WorkerAsks(const HostGroup& endpoint_list, core::Clock& clock, double timeout_ms,
+                       AnswerHandler on_answer)
+    : endpoint_list_(endpoint_list),
+      clock_(clock),
+      timeout_ms_(timeout_ms),
+      on_answer_(std::move(on_answer)) {
+  for (std::size_t i = 0; i < kThreads; ++i) threads_.emplace_back("asks", [this] { run_thread(); });
 }
 
 WorkerAsks::~WorkerAsks() {
   const auto stop = [this] {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
-    came_.notify_all();
+    question_added_.notify_all();
   };
   stop();
   threads_.clear();
@@ -25,57 +29,58 @@
 
 void WorkerAsks::ask(Question question) {
   const std::lock_guard lock(mutex_);
-  const std::pair<std::string, std::string> name{question.worker, question.key};
-  for (Question& waiting : questions_)
+  const std::pair<std::string, std::string> worker_and_key{question.worker, question.key};
+  for (Question& waiting : pending_)
     if (waiting.worker == question.worker && waiting.key == question.key) {
       waiting.epoch = std::max(waiting.epoch, question.epoch);
       return;
     }
-  if (!under_way_.insert(name).second && question.key.empty()) return;
-  questions_.push_back(std::move(question));
-  came_.notify_one();
+  if (!active_.insert(worker_and_key).second && question.key.empty()) return;
+  pending_.push_back(std::move(question));
+  question_added_.notify_one();
 }
 
-void WorkerAsks::run() {
+void WorkerAsks::run_thread() {
   std::unique_lock lock(mutex_);
   for (;;) {
-    came_.wait(lock, [this] { return stopping_ || !questions_.empty(); });
+    question_added_.wait(lock, [this] { return stopping_ || !pending_.empty(); });
     if (stopping_) return;
-    const Question question = std::move(questions_.front());
-    questions_.pop_front();
+    const Question question = std::move(pending_.front());
+    pending_.pop_front();
     lock.unlock();
     Answer answer;
     try {
-      answer = put(question);
+      answer = send_question(question);
     } catch (const std::exception&) {
-      answer = {};  // what it said cannot be read, or there is no descriptor now: it will be asked again
+      answer = {};  // unreadable answer, or no descriptor available: the question will be repeated
     }
-    take_(question, answer);
+    on_answer_(question, answer);
     lock.lock();
-    under_way_.erase({question.worker, question.key});
+    active_.erase({question.worker, question.key});
   }
 }
 
-WorkerAsks::Answer WorkerAsks::put(const Question& question) {
-  const auto host = hosts_.find(question.worker);
-  if (!host) return {};
-  Socket socket = Socket::make(host->address);
-  if (!socket.connect(host->address, patience_ms_)) return {};
-  const double until = clock_.now() + patience_ms_;
+WorkerAsks::Answer WorkerAsks::send_question(const Question& question) {
+  const auto endpoint = endpoint_list_.find(question.worker);
+  if (!endpoint) return {};
+  Socket socket = Socket::make(endpoint->address);
+  if (!socket.connect(endpoint->address, timeout_ms_)) return {};
+  const double deadline = clock_.now() + timeout_ms_;
   std::string head = "GET /jobs" + (question.key.empty() ? "" : '/' + question.key) + " HTTP/1.1\r\nHost: ";
-  head += host->dial + "\r\nX-Job-Epoch: " + std::to_string(question.epoch) + "\r\nConnection: close\r\n\r\n";
-  if (socket.send({head}, until, clock_) != Io::done) return {};
-  Intake intake(socket, clock_, pool_);
+  head +=
+      endpoint->dial + "\r\nX-Job-Epoch: " + std::to_string(question.epoch) + "\r\nConnection: close\r\n\r\n";
+  if (socket.send({head}, deadline, clock_) != Io::done) return {};
+  Intake intake(socket, clock_, buffer_pool_);
   Io why = Io::done;
-  const auto length = intake.head(until, why);
+  const auto length = intake.head(deadline, why);
   if (!length) return {};
-  const Head read = read_answer_head(intake.view().substr(0, *length));
-  const Framing framing = framing_of_answer(read);
-  const bool good = read.status == 200;
+  const Head response_head = read_answer_head(intake.view().substr(0, *length));
+  const Framing framing = framing_of_answer(response_head);
+  const bool ok = response_head.status == 200;
   intake.use(*length);
   LineReader lines(intake, framing);
   Answer answer;
-  if (!good || lines.next(answer.body, until) != LineReader::Got::line) return {};
+  if (!ok || lines.next(answer.body, deadline) != LineReader::Got::line) return {};
   answer.came = true;
   return answer;
 }
--- a/src/net/worker_asks.hpp
+++ b/src/net/worker_asks.hpp
@@ -1,5 +1,5 @@
-// Asks workers about jobs: GET /jobs/KEY, as docs/worker-leases.md has it. A few threads, each question on a
-// link of its own; at most one question for a key at a time.
+// Asks workers for the state of jobs: GET /jobs/KEY, as docs/worker-leases.md specifies. A few threads, each
+// question on a connection of its own; at most one pending question per worker and key.
 #pragma once
 
 #include <condition_variable>
@@ -16,43 +16,50 @@
 
 namespace woadtide::net {
 
+// Sends questions about jobs to workers in the background.
 class WorkerAsks {
  public:
   static constexpr std::size_t kThreads = 3;
 
+  // A question about one job; with an empty key, about the worker as a whole (GET /jobs).
   struct Question {
     std::string worker, key;
     std::uint64_t epoch = 0;
   };
+  // The worker's answer; it has come if a complete 200 response was received.
   struct Answer {
-    bool came = false;  // a whole 200; else the worker could not be reached or does not answer
+    bool came = false;  // false: the worker could not be reached or did not answer
     std::string body;   // JSON
   };
-  using Take = std::function<void(const Question&, const Answer&)>;
+  using AnswerHandler = std::function<void(const Question&, const Answer&)>;
 
-  // `take` is called by the threads, once for each question that was not put while the same was under way.
-  WorkerAsks(const HostGroup& hosts, core::Clock& clock, double patience_ms, Take take);
+  // `on_answer` is called on the threads, once for each question that ask() has neither merged nor dropped.
+  // `timeout_ms` applies to the connect and to the response in turn.
+  WorkerAsks(const HostGroup& endpoint_list, core::Clock& clock, double timeout_ms, AnswerHandler on_answer);
+  // Waits for the threads; pending questions are dropped.
   ~WorkerAsks();
   WorkerAsks(const WorkerAsks&) = delete;
   WorkerAsks& operator=(const WorkerAsks&) = delete;
 
+  // Queues a question. If one for the same worker and key is pending, that one gets the higher of the epochs
+  // instead. A question without a key is dropped while one to the same worker is in progress.
   void ask(Question question);
 
  private:
-  void run();
-  Answer put(const Question& question);
+  void run_thread();
+  Answer send_question(const Question& question);
 
-  const HostGroup& hosts_;
+  const HostGroup& endpoint_list_;
   core::Clock& clock_;
-  const double patience_ms_;
-  const Take take_;
-  BufferPool pool_{kThreads};
+  const double timeout_ms_;
+  const AnswerHandler on_answer_;
+  BufferPool buffer_pool_{kThreads};
   std::mutex mutex_;
-  std::condition_variable came_;
-  std::deque<Question> questions_;
-  std::set<std::pair<std::string, std::string>> under_way_;  // worker, key
+  std::condition_variable question_added_;
+  std::deque<Question> pending_;
+  std::set<std::pair<std::string, std::string>> active_;  // worker, key
   bool stopping_ = false;
-  std::vector<park::Thread> threads_;  // last: they use all the others
+  std::vector<park::Thread> threads_;  // last: they use all other members
 };
 
 }  // namespace woadtide::net
