--- a/src/net/host_group.cpp
+++ b/src/net/host_group.cpp
@@ -186,9 +186,9 @@
 void HostGroup::process_available_input() {
   intake_->begin_turn();
   if (!body_) {
-    Io why = Io::done;
-    const auto length = intake_->head(Intake::kNoWait, why);
-    if (!length && why == Io::late) return;
+    Io read_status = Io::done;
+    const auto length = intake_->head(Intake::kNoWait, read_status);
+    if (!length && read_status == Io::late) return;
     if (!length) throw Failure(EndReason::unreachable, "the connection ended before a response");
     const Head head = read_answer_head(intake_->view().substr(0, *length));
     response_timeout_ms_ = 0;
--- a/src/net/server_links.cpp
+++ b/src/net/server_links.cpp
@@ -365,9 +365,9 @@
   return error;
 }
 
-void ServerLinks::log_local_failure(const char* what) {
+void ServerLinks::log_local_failure(const char* message) {
   const std::lock_guard lock(mutex_);
-  if (local_failure_log_.due(clock_.now())) core::log_line(std::string("server link: ") + what);
+  if (local_failure_log_.due(clock_.now())) core::log_line(std::string("server link: ") + message);
 }
 
 bool ServerLinks::is_cancelled(const Link& link) {
@@ -525,9 +525,9 @@
 std::optional<ServerLinks::Outcome> ServerLinks::read_response(Link& link) {
   try {
     while (!link.body_lines) {
-      Io why = Io::done;
-      const auto length = link.intake->head(Intake::kNoWait, why);
-      if (!length && why == Io::late) return std::nullopt;
+      Io read_status = Io::done;
+      const auto length = link.intake->head(Intake::kNoWait, read_status);
+      if (!length && read_status == Io::late) return std::nullopt;
       if (!length) return link_failure(link, Status::reset);
       const Head head = read_answer_head(link.intake->view().substr(0, *length));
       const Framing framing = framing_of_answer(head);
@@ -555,9 +555,9 @@
   const core::ExecutionKey& key = link.task.execution.key;
   std::string line;
   for (;;) {
-    const auto got = link.body_lines->next(line, Intake::kNoWait);
-    if (got == LineReader::Got::late) return std::nullopt;
-    if (got != LineReader::Got::line) return link_failure(link, Status::reset);
+    const auto line_status = link.body_lines->next(line, Intake::kNoWait);
+    if (line_status == LineReader::Got::late) return std::nullopt;
+    if (line_status != LineReader::Got::line) return link_failure(link, Status::reset);
     if (line.empty()) continue;
     if (link.task.is_probe) return Outcome{Status::ok, std::move(line)};
     WorkerEvent event;
--- a/src/net/server_links.hpp
+++ b/src/net/server_links.hpp
@@ -140,7 +140,7 @@
   static Outcome outcome_after_cancel(const Link& link, woadtide::Status default_status);
   bool is_excluded(const std::string& worker);
   bool is_cancelled(const Link& link);
-  void log_local_failure(const char* what);
+  void log_local_failure(const char* message);
 
   Limits limits_;  // `max_links` is guarded by the mutex
   core::Clock& clock_;
--- a/src/net/worker_asks.cpp
+++ b/src/net/worker_asks.cpp
@@ -71,8 +71,8 @@
       endpoint->dial + "\r\nX-Job-Epoch: " + std::to_string(question.epoch) + "\r\nConnection: close\r\n\r\n";
   if (socket.send({head}, deadline, clock_) != Io::done) return {};
   Intake intake(socket, clock_, buffer_pool_);
-  Io why = Io::done;
-  const auto length = intake.head(deadline, why);
+  Io read_status = Io::done;
+  const auto length = intake.head(deadline, read_status);
   if (!length) return {};
   const Head response_head = read_answer_head(intake.view().substr(0, *length));
   const Framing framing = framing_of_answer(response_head);
--- a/tests/large_list_test.cpp
+++ b/tests/large_list_test.cpp
@@ -1,5 +1,4 @@
-// Endpoint lists of the size that the operators plan for, and lists that cannot be used, over real
-// connections.
+// Endpoint lists of the size that operators plan for, and unusable lists, over real connections.
 #include <poll.h>
 
 #include "node_harness.hpp"
@@ -7,7 +6,7 @@
 namespace woadtide::net {
 namespace {
 
-nlohmann::json list_of(int workers, int seq) {
+nlohmann::json whole_list(int workers, int seq) {
   Hosts hosts;
   for (int i = 0; i < workers; ++i) {
     nlohmann::json host = host_json("s-" + std::to_string(10'000'000 + i), "127.0.0.1:8000");
@@ -19,10 +18,10 @@
   return {{"seq", seq}, {"whole", true}, {"hosts", std::move(hosts)}};
 }
 
-constexpr const char* kHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+constexpr const char* kResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// As chunks of `piece` bytes: the ends of chunks and of lines have nothing to do with each other.
-std::string chunks_of(const std::string& text, std::size_t piece) {
+// Splits `text` into chunks of `piece` bytes, so that chunk ends and line ends are independent.
+std::string to_chunks(const std::string& text, std::size_t piece) {
   std::string chunked;
   for (std::size_t from = 0; from < text.size(); from += piece) {
     const std::string part = text.substr(from, piece);
@@ -37,92 +36,96 @@
   explicit Client(const endpoints::EndpointLimits& limits)
       : hosts(discovery.dial(), core::HostList{}, clock, inbox, pool, park, crew, HostGroup::Way::asked,
               HostGroup::kSilenceMs, {}, limits) {
-    next();  // what it remembers: nothing
+    next();  // the remembered list, which is empty
   }
   ListUpdate next() {
-    while (come.empty()) {
+    while (updates.empty()) {
       inbox.wait(10'000);
-      for (core::Message& message : inbox.take()) come.push_back(std::get<core::ListTold>(message).update);
-      REQUIRE_MESSAGE(!come.empty(), "no list came");
+      for (core::Message& message : inbox.take()) updates.push_back(std::get<core::ListTold>(message).update);
+      REQUIRE_MESSAGE(!updates.empty(), "no list update arrived");
     }
-    ListUpdate update = std::move(come.front());
-    come.pop_front();
+    ListUpdate update = std::move(updates.front());
+    updates.pop_front();
     return update;
   }
-  // Discovery's side of a call, which has been read.
-  Peer call() {
+  // Accepts a call on discovery's side and reads its request.
+  Peer accept_call() {
     hosts.watch();
     Peer peer = discovery.accept();
     peer.message();
     return peer;
   }
-  bool calls_now() {
-    pollfd come_in{discovery.socket.fd(), POLLIN, 0};
-    return ::poll(&come_in, 1, 50) > 0;
+  bool call_arrives() {
+    pollfd poll_fd{discovery.socket.fd(), POLLIN, 0};
+    return ::poll(&poll_fd, 1, 50) > 0;
   }
 
   Port discovery;
   core::Clock clock;
   core::Inbox inbox;
   BufferPool pool{16};
-  std::deque<ListUpdate> come;
+  std::deque<ListUpdate> updates;
   park::Park park{clock};
   park::Crew crew{{}};
   HostGroup hosts;
 };
 
-// Guards the fleet's growth: a line was held to 64 KiB, and no list of more than some 525 workers was read.
-TEST_CASE("lists of 3,200 and 10,000 workers are read, in one line, indented and in pieces, then changed") {
+// Guards the growth of the fleet: lines were once limited to 64 KiB, so that no list of more than some 525
+// workers could be read.
+TEST_CASE(
+    "lists of 3,200 and 10,000 workers are read, in one line or indented, in small chunks, and then "
+    "updated") {
   for (const int workers : {3'200, 10'000})
     for (const int indent : {-1, 2}) {
       CAPTURE(workers);
       CAPTURE(indent);
       Client client(endpoints::endpoint_limits(64'000'000));
-      Peer watch = client.call();
-      watch.write(kHead + chunks_of(list_of(workers, 41).dump(indent) + "\n", 997));
-      const ListUpdate whole = client.next();
-      CHECK(whole.kind == ListKind::full);
-      CHECK(whole.entries.size() == static_cast<std::size_t>(workers));
+      Peer watch = client.accept_call();
+      watch.write(kResponseHead + to_chunks(whole_list(workers, 41).dump(indent) + "\n", 997));
+      const ListUpdate full_list = client.next();
+      CHECK(full_list.kind == ListKind::full);
+      CHECK(full_list.entries.size() == static_cast<std::size_t>(workers));
       Hosts changed;
       for (int i = 0; i < 1'000; ++i)
         changed.push_back(host_json("s-" + std::to_string(10'000'000 + i), "127.0.0.1:9000", "Terminating"));
       watch.write(
-          chunks_of(nlohmann::json{{"seq", 42}, {"whole", false}, {"hosts", changed}}.dump() + "\n", 997));
+          to_chunks(nlohmann::json{{"seq", 42}, {"whole", false}, {"hosts", changed}}.dump() + "\n", 997));
       const ListUpdate changes = client.next();
       CHECK(changes.kind == ListKind::changes);
       CHECK(changes.entries.size() == 1'000);
       CHECK(client.hosts.find("s-10000999")->entry.state == WorkerState::draining);
       CHECK(client.hosts.find("s-10000999")->dial == "127.0.0.1:9000");
       CHECK(client.hosts.find("s-10001000")->entry.state == WorkerState::ready);
-      watch.write(chunks_of(list_of(workers / 10, 43).dump() + "\n", 997));
+      watch.write(to_chunks(whole_list(workers / 10, 43).dump() + "\n", 997));
       CHECK(client.next().entries.size() == static_cast<std::size_t>(workers / 10));
       CHECK_FALSE(client.hosts.find("s-10001000"));
     }
 }
 
-// Guards the bytes for control, and the list that is held: one that could not be used was loaded again and
-// again, over 1 MB a second.
+// Guards the control traffic limit and the current list: an unusable list was once loaded again and again, at
+// over 1 MB a second.
 TEST_CASE(
-    "a list that cannot be used is read no more often than control bytes allow, and the held one stays") {
-  const std::string too_large = list_of(200, 50).dump() + "\n";
+    "an unusable list is read no more often than the control traffic limit allows, and the current list "
+    "stays") {
+  const std::string too_large = whole_list(200, 50).dump() + "\n";
   const std::string twice = R"({"seq":50,"whole":true,"hosts":[)" + std::string(20'000, ' ') +
                             R"({"host":"v","dial":"127.0.0.1:1","health":"Ready"},)"
                             R"({"host":"v","dial":"127.0.0.1:2","health":"Ready"}]})"
                             "\n";
-  const std::string cut = list_of(100, 50).dump().substr(0, 10'000);
+  const std::string cut = whole_list(100, 50).dump().substr(0, 10'000);
   for (const std::string& text : {too_large, twice, cut}) {
     CAPTURE(text.substr(0, 60));
     Client client({100, 100'000, 4'096});
     client.clock.set(kNow);
     {
-      Peer watch = client.call();
-      watch.write(kHead + chunks_of(list_of(100, 41).dump() + "\n", 4'096));
+      Peer watch = client.accept_call();
+      watch.write(kResponseHead + to_chunks(whole_list(100, 41).dump() + "\n", 4'096));
       CHECK(client.next().kind == ListKind::full);
     }
     CHECK(client.next().kind == ListKind::failed);
     for (int calls = 0; calls < 2; ++calls) {
-      Peer watch = client.call();
-      watch.write(kHead + chunks_of(text, 4'096));
+      Peer watch = client.accept_call();
+      watch.write(kResponseHead + to_chunks(text, 4'096));
       watch.socket.shut(SHUT_WR);
       const ListUpdate failed = client.next();
       CHECK(failed.kind == ListKind::failed);
@@ -130,10 +133,11 @@
       CHECK(client.hosts.find("s-10000099"));
     }
     client.hosts.watch();
-    CHECK_FALSE(client.calls_now());
-    // A dispatcher may spend 4 KB a second for control; the list is in force until the next call is due.
+    CHECK_FALSE(client.call_arrives());
+    // A dispatcher may use 4 KB a second for control traffic; the list is in force until the next call is
+    // due.
     client.clock.set(kNow + 2'000);
-    CHECK_FALSE(client.calls_now());
+    CHECK_FALSE(client.call_arrives());
     client.clock.set(kNow + 10'000);
     CHECK(client.discovery.accept().message().find("since=41 ") != std::string::npos);
   }
--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -1,4 +1,4 @@
-// The second address, against callers over loopback.
+// The management address, with clients over loopback.
 #include <atomic>
 #include <thread>
 
@@ -9,85 +9,90 @@
 
 using net::Management;
 
-bool starts(const std::string& text, const std::string& with) { return text.rfind(with, 0) == 0; }
-bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool starts_with(const std::string& text, const std::string& with) { return text.rfind(with, 0) == 0; }
+bool contains(const std::string& text, const std::string& part) {
+  return text.find(part) != std::string::npos;
+}
 
-constexpr const char* kAskReady = "GET /health/ready HTTP/1.1\r\n\r\n";
+constexpr const char* kReadinessRequest = "GET /health/ready HTTP/1.1\r\n\r\n";
 
-TEST_CASE("a call is one whole line of known words, and anything else is an error") {
+TEST_CASE("a command is one complete line of known words, and anything else is an error") {
   Served served(Hosts{});
-  CHECK(starts(served.call("readyz\n"), "done"));
-  CHECK(starts(served.call("  readyz \r\n"), "done"));
+  CHECK(starts_with(served.call("readyz\n"), "done"));
+  CHECK(starts_with(served.call("  readyz \r\n"), "done"));
   for (const char* line : {"\n", "ready\n", "READYZ\n", "readyz w\n", "evacuate now\n", "exclude\n",
                            "readyz x y\n", "GET /health/ready HTTP/1.1\r\n\r\n"})
-    CHECK(starts(served.call(line), "error"));
-  CHECK(starts(served.call(std::string(600, 'x')), "error"));
-  // Broken off: half an id could be another's.
+    CHECK(starts_with(served.call(line), "error"));
+  CHECK(starts_with(served.call(std::string(600, 'x')), "error"));
+  // A truncated line: half an id could be that of another worker.
   Peer half = Peer::to(served.node.management_port());
   half.write("evacuate");
   half.socket.shut(SHUT_WR);
   CHECK(half.read_some());
-  CHECK(starts(half.come, "error"));
-  CHECK(starts(served.call("readyz\n"), "done"));
+  CHECK(starts_with(half.come, "error"));
+  CHECK(starts_with(served.call("readyz\n"), "done"));
 }
 
-// Guards the answer that is owed in a second: callers that keep a link and say nothing whole are many.
-TEST_CASE("callers without a whole line give way to the next call, oldest first") {
+// Guards the answer that is due within a second even if many clients keep a connection without sending a
+// whole line.
+TEST_CASE("connections without a complete line are closed for the next command, oldest first") {
   Served served(Hosts{});
   std::vector<Peer> silent;
   for (std::size_t i = 0; i < 3 * Management::kMostCallers; ++i) {
     silent.push_back(Peer::to(served.node.management_port()));
     silent.back().write("ready");
   }
-  CHECK(starts(served.call("readyz\n"), "done"));
-  // Cut off without a word, or told that nothing whole came.
+  CHECK(starts_with(served.call("readyz\n"), "done"));
+  // Closed without an answer, or told that the line was incomplete.
   while (silent.front().read_some()) {
   }
-  CHECK_FALSE(starts(silent.front().come, "done"));
+  CHECK_FALSE(starts_with(silent.front().come, "done"));
 }
 
-// Guards the rule on lost jobs: at 4 s no client may be here, and whatever was taken is answered.
-TEST_CASE("evacuate closes links once the front has heard, and activate takes clients again") {
+// Guards the rule on lost jobs: 4 s into an evacuation no client may be left, and every query taken has been
+// answered.
+TEST_CASE("evacuate closes client links after the front has been told, and activate accepts clients again") {
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())});
   Peer idle = served.client(), busy = served.client(), silent = served.client();
-  idle.write(kAskReady);
-  CHECK(starts(idle.message(), "HTTP/1.1 200 "));
+  idle.write(kReadinessRequest);
+  CHECK(starts_with(idle.message(), "HTTP/1.1 200 "));
   busy.write(query_text("a1", "refund-payout"));
   Peer link = worker.accept();
   link.message();
-  CHECK(starts(served.call("evacuate\n"), "done"));
-  CHECK(starts(served.call("evacuate\n"), "done"));
-  CHECK(starts(served.call("readyz\n"), "error"));
-  const std::string no = served.ask(kAskReady);
-  CHECK(starts(no, "HTTP/1.1 503 "));
-  CHECK(has(no, "Connection: close\r\n"));
-  idle.write("GET /health/live HTTP/1.1\r\n\r\n");  // still in use
-  CHECK(has(idle.message(), "Connection: close\r\n"));
+  CHECK(starts_with(served.call("evacuate\n"), "done"));
+  CHECK(starts_with(served.call("evacuate\n"), "done"));
+  CHECK(starts_with(served.call("readyz\n"), "error"));
+  const std::string no = served.ask(kReadinessRequest);
+  CHECK(starts_with(no, "HTTP/1.1 503 "));
+  CHECK(contains(no, "Connection: close\r\n"));
+  idle.write("GET /health/live HTTP/1.1\r\n\r\n");  // the connection is still in use
+  CHECK(contains(idle.message(), "Connection: close\r\n"));
   Peer kept = served.client();
   served.clock.set(kNow + 1'600);
   CHECK(silent.closed());
   link.write(done("a1", "one"));
   const std::string answer = busy.message();
   CHECK(answer.ends_with("\r\n\r\none"));
-  CHECK(has(answer, "Connection: close\r\n"));
-  CHECK(starts(served.call("activate\n"), "done"));
-  CHECK(starts(served.call("activate\n"), "done"));
-  CHECK(starts(served.call("readyz\n"), "done"));
+  CHECK(contains(answer, "Connection: close\r\n"));
+  CHECK(starts_with(served.call("activate\n"), "done"));
+  CHECK(starts_with(served.call("activate\n"), "done"));
+  CHECK(starts_with(served.call("readyz\n"), "done"));
   Peer back = served.client();
   for (int i = 0; i < 2; ++i) {
-    back.write(kAskReady);
-    CHECK(starts(back.message(), "HTTP/1.1 200 "));
+    back.write(kReadinessRequest);
+    CHECK(starts_with(back.message(), "HTTP/1.1 200 "));
   }
 }
 
-// Guards the same rule, and the word that such a client is owed: a query that comes in pieces could begin at
-// 3 s and be at work at 4 s. On a link that has served, and as a link's first.
-TEST_CASE("a query that is still coming in late in an evacuation is refused, and taken after activate") {
+// Guards the same rule, and the refusal that such a client must get: a query that arrives in pieces could
+// begin at 3 s and still run at 4 s. Covers connections that have served a request and first queries of a
+// connection.
+TEST_CASE("a query still being received late in an evacuation is refused, and accepted after activate") {
   Served served(Hosts{});
   Peer kept = served.client(), mute = served.client(), first = served.client();
   for (Peer* peer : {&kept, &mute}) {
-    peer->write(kAskReady);
+    peer->write(kReadinessRequest);
     peer->message();
   }
   const std::string text = query_text("a", "refund-payout");
@@ -97,23 +102,23 @@
   Peer late = served.client();
   late.write(text.substr(0, 30));
   served.clock.set(kNow + 1'900);
-  CHECK(has(first.message(), "sent away"));  // without another byte from it
-  CHECK(has(late.message(), "sent away"));
-  CHECK(has(mute.message(), "sent away"));  // on a link that has served, too
+  CHECK(contains(first.message(), "sent away"));  // without another byte from it
+  CHECK(contains(late.message(), "sent away"));
+  CHECK(contains(mute.message(), "sent away"));  // also on a connection that has served a request
   kept.write(text.substr(30));
-  CHECK(has(kept.message(), "sent away"));
+  CHECK(contains(kept.message(), "sent away"));
   served.call("activate\n");
   Peer back = served.client();
   back.write(text.substr(0, 30));
   served.clock.set(kNow + 3'700);
   back.write(text.substr(30));
-  CHECK(has(back.message(), "refused"));  // by the module: there is no worker
+  CHECK(contains(back.message(), "refused"));  // by the module: there is no worker
 }
 
-TEST_CASE("an idle link is closed in an evacuation, and its end by SIGTERM cannot be undone") {
+TEST_CASE("an idle link is closed in an evacuation, and activate does not undo SIGTERM") {
   Served served(Hosts{});
   Peer idle = served.client();
-  idle.write(kAskReady);
+  idle.write(kReadinessRequest);
   idle.message();
   served.call("evacuate\n");
   served.clock.set(kNow + 400);
@@ -123,9 +128,9 @@
     served.node.finish();
     ended = true;
   });
-  while (!has(served.call("activate\n"), "ending")) {
+  while (!contains(served.call("activate\n"), "ending")) {
   }
-  CHECK(starts(served.call("readyz\n"), "error"));
+  CHECK(starts_with(served.call("readyz\n"), "error"));
   while (!ended) served.clock.set(served.clock.now() + 1);
   end.join();
 }
--- a/tests/node_harness.hpp
+++ b/tests/node_harness.hpp
@@ -1,5 +1,6 @@
-// Scripted peers over loopback, all driven from the test's own thread: the kernel holds what the other side
-// is not ready for. A read that gets nothing for long fails the test instead of hanging it.
+// Scripted clients, workers and discovery servers over loopback, all driven from the test's own thread: the
+// kernel buffers what the other side does not read yet. A read that gets nothing within its timeout fails the
+// test instead of hanging it.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -29,9 +30,9 @@
 
 using Hosts = std::vector<nlohmann::json>;
 
-inline constexpr double kNow = 1'700'000'000'000;  // where the tests' clocks stand
+inline constexpr double kNow = 1'700'000'000'000;  // initial time of the tests' clocks
 
-// Returns once that is so; fails the test where it does not come to be for long.
+// Waits until `done` returns true; fails the test after 10 s of real time.
 inline void await(const std::function<bool()>& done) {
   const core::Clock real;
   for (const double end = real.now() + 10'000; !done();) {
@@ -40,17 +41,17 @@
   }
 }
 
-// Whether something has come there, or a connection has.
+// Whether input or a connection arrives within `within_ms` ms of real time.
 inline bool comes(const net::Socket& socket, int within_ms) {
-  pollfd one{socket.fd(), POLLIN, 0};
-  return ::poll(&one, 1, within_ms) > 0;
+  pollfd poll_fd{socket.fd(), POLLIN, 0};
+  return ::poll(&poll_fd, 1, within_ms) > 0;
 }
 
-// One side of a link, reading and writing text.
+// One side of a connection, reading and writing text.
 struct Peer {
   explicit Peer(net::Socket from) : socket(std::move(from)) {
-    const timeval patience{10, 0};
-    ::setsockopt(socket.fd(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    const timeval receive_timeout{10, 0};
+    ::setsockopt(socket.fd(), SOL_SOCKET, SO_RCVTIMEO, &receive_timeout, sizeof receive_timeout);
   }
   static Peer to(int port) {
     const net::Address address("127.0.0.1:" + std::to_string(port));
@@ -63,21 +64,21 @@
   }
   bool read_some() {
     char bytes[4096];
-    const ssize_t got = ::recv(socket.fd(), bytes, sizeof bytes, 0);
-    REQUIRE_MESSAGE((got >= 0 || errno == ECONNRESET), "nothing came");
-    if (got > 0) come.append(bytes, static_cast<std::size_t>(got));
-    return got > 0;
+    const ssize_t count = ::recv(socket.fd(), bytes, sizeof bytes, 0);
+    REQUIRE_MESSAGE((count >= 0 || errno == ECONNRESET), "nothing was received in time");
+    if (count > 0) come.append(bytes, static_cast<std::size_t>(count));
+    return count > 0;
   }
-  // A message with a Content-Length or none.
+  // Reads a message with a Content-Length or without a body.
   std::string message() {
     std::size_t end = 0;
     while ((end = come.find("\r\n\r\n")) == std::string::npos) REQUIRE(read_some());
     const std::size_t field = come.find("Content-Length: ");
     const std::size_t body = field < end ? std::stoul(come.substr(field + 16)) : 0;
     while (come.size() < end + 4 + body) REQUIRE(read_some());
-    std::string whole = come.substr(0, end + 4 + body);
-    come.erase(0, whole.size());
-    return whole;
+    std::string message_text = come.substr(0, end + 4 + body);
+    come.erase(0, message_text.size());
+    return message_text;
   }
   bool closed() {
     come.clear();
@@ -88,13 +89,13 @@
   std::string come;
 };
 
-// A port that a peer listens at: a worker's, or discovery's.
+// A listening socket of a worker or of discovery.
 struct Port {
   net::Socket socket = net::Socket::listen_at(net::Address("127.0.0.1:0"));
   std::string dial() const { return "127.0.0.1:" + std::to_string(socket.port()); }
   Peer accept() {
-    const timeval patience{10, 0};
-    ::setsockopt(socket.fd(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    const timeval receive_timeout{10, 0};
+    ::setsockopt(socket.fd(), SOL_SOCKET, SO_RCVTIMEO, &receive_timeout, sizeof receive_timeout);
     net::Fd fd(::accept(socket.fd(), nullptr, nullptr));
     REQUIRE_MESSAGE(fd, "nobody connected");
     return Peer(net::Socket(std::move(fd)));
@@ -157,8 +158,8 @@
   return chunked({event(id, "started"), event(id, "done", R"(,"result":")" + result + '"')}) + "0\r\n\r\n";
 }
 
-// One line to a node's second address, and all of its answer.
-inline std::string call_node(const Node& node, const std::string& line) {
+// Sends one line to a node's management address and returns the whole answer.
+inline std::string call_management(const Node& node, const std::string& line) {
   Peer link = Peer::to(node.management_port());
   link.write(line);
   while (link.read_some()) {
@@ -168,14 +169,14 @@
 
 inline void await_ready(const Node& node) {
   const core::Clock real;
-  for (const double end = real.now() + 10'000; call_node(node, "readyz\n").rfind("done", 0) != 0;) {
+  for (const double end = real.now() + 10'000; call_management(node, "readyz\n").rfind("done", 0) != 0;) {
     REQUIRE_MESSAGE(real.now() < end, "the node did not become ready");
     std::this_thread::yield();
   }
 }
 
-// Discovery's side of the watch that a node opens: it is told that the list which the node remembers holds.
-// Returns once the node is ready; the watch stays open as long as what is returned.
+// Discovery's side of the watch that a node opens: confirms the list that the node remembers. Returns once
+// the node is ready; the watch stays open as long as the returned object.
 inline Peer confirm_list(Port& discovery, const Node& node) {
   Peer watch = discovery.accept();
   watch.message();
@@ -184,26 +185,27 @@
   return watch;
 }
 
-// A whole dispatcher whose list remembers `hosts`, which discovery has confirmed; its clock stands still.
+// A whole dispatcher that remembers the list `hosts`, confirmed by discovery; its clock does not advance by
+// itself.
 struct Served {
-  using Change = std::function<void(nlohmann::json& config)>;
-  explicit Served(Hosts hosts, const Change& change = {}, park::Crew::Start start = {})
-      : config(changed(config_json(std::move(hosts), discovery.dial()), change)),
-        node(core::read_config(config), standing(), {}, std::move(start)) {
+  using ConfigEdit = std::function<void(nlohmann::json& config)>;
+  explicit Served(Hosts hosts, const ConfigEdit& edit = {}, park::Crew::Start start = {})
+      : config(edited(config_json(std::move(hosts), discovery.dial()), edit)),
+        node(core::read_config(config), stopped_clock(), {}, std::move(start)) {
     if (config["discovery"] == discovery.dial()) watch = confirm_list(discovery, node);
   }
-  static nlohmann::json changed(nlohmann::json config, const Change& change) {
-    if (change) change(config);
+  static nlohmann::json edited(nlohmann::json config, const ConfigEdit& edit) {
+    if (edit) edit(config);
     return config;
   }
-  core::Clock& standing() {
+  core::Clock& stopped_clock() {
     clock.set(kNow);
     return clock;
   }
   Peer client() { return Peer::to(node.port()); }
-  // One line to the second address, and all of its answer.
-  std::string call(const std::string& line) { return call_node(node, line); }
-  // One query on a link of its own.
+  // Sends one line to the management address and returns the whole answer.
+  std::string call(const std::string& line) { return call_management(node, line); }
+  // Sends one query on a new connection and returns the response.
   std::string ask(const std::string& text) {
     Peer link = client();
     link.write(text);
@@ -214,7 +216,7 @@
   core::Clock clock;
   nlohmann::json config;
   Node node;
-  std::optional<Peer> watch;  // none where `change` has put discovery elsewhere
+  std::optional<Peer> watch;  // none if `edit` has configured another discovery address
 };
 
 }  // namespace woadtide
--- a/tests/succession_test.cpp
+++ b/tests/succession_test.cpp
@@ -1,4 +1,4 @@
-// Two processes of one dispatcher, played by two nodes that were passed the same listening socket.
+// Hot restart: two processes of one dispatcher, represented by two nodes that share a listening socket.
 #include <atomic>
 #include <filesystem>
 #include <thread>
@@ -11,17 +11,19 @@
 namespace woadtide {
 namespace {
 
-bool starts(const std::string& text, const std::string& with) { return text.rfind(with, 0) == 0; }
-bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool starts_with(const std::string& text, const std::string& with) { return text.rfind(with, 0) == 0; }
+bool contains(const std::string& text, const std::string& part) {
+  return text.find(part) != std::string::npos;
+}
 
-struct Platform {
-  Platform() {
+struct TwoProcesses {
+  TwoProcesses() {
     char name[] = "/tmp/woadtide-test-XXXXXX";
     REQUIRE(::mkdtemp(name));
     folder = name;
     clock.set(kNow);
   }
-  ~Platform() { std::filesystem::remove_all(folder); }
+  ~TwoProcesses() { std::filesystem::remove_all(folder); }
   std::unique_ptr<Node> start(Hosts hosts) {
     core::Config config = core::read_config(config_json(std::move(hosts), discovery.dial()));
     config.passed_socket = ::dup(listener.socket.fd());
@@ -29,31 +31,31 @@
     return std::make_unique<Node>(config, clock);
   }
   Peer client() { return Peer::to(listener.socket.port()); }
-  // Of one node, however its calls fall.
-  static std::string call(const Node& node, const std::string& line) { return call_node(node, line); }
+  // Sends a command to one given node, regardless of which one accepts on the shared socket.
+  static std::string call(const Node& node, const std::string& line) { return call_management(node, line); }
 
   Port listener, discovery, worker;
   core::Clock clock;
   std::string folder;
 };
 
-// Guards what an upgrade must not lose: what the old process has taken is answered, what waits or comes is
-// the new one's, and the socket that both listen at outlives the old one.
-TEST_CASE("in an upgrade the old process answers what it has, and the new one takes all that comes") {
-  Platform platform;
-  const Hosts hosts{host_json("w", platform.worker.dial())};
-  auto old = platform.start(hosts);
-  const Peer watch = confirm_list(platform.discovery, *old);
-  Peer busy = platform.client(), idle = platform.client();
+// Guards what a hot restart must not lose: queries that the old process has taken are answered, waiting and
+// new ones go to the new process, and the shared listening socket outlives the old process.
+TEST_CASE("in a hot restart the old process answers its queries, and the new one accepts all new ones") {
+  TwoProcesses processes;
+  const Hosts hosts{host_json("w", processes.worker.dial())};
+  auto old = processes.start(hosts);
+  const Peer watch = confirm_list(processes.discovery, *old);
+  Peer busy = processes.client(), idle = processes.client();
   busy.write(query_text("a1", "refund-payout"));
-  Peer first = platform.worker.accept();
+  Peer first = processes.worker.accept();
   first.message();
   idle.write("GET /health/ready HTTP/1.1\r\n\r\n");
-  CHECK(starts(idle.message(), "HTTP/1.1 200 "));
-  auto next = platform.start(hosts);
-  CHECK(starts(Platform::call(*old, "readyz\n"), "done"));
-  await_ready(*next);  // by the list that the old one has
-  // Its `ready` goes another way than its answer to us.
+  CHECK(starts_with(idle.message(), "HTTP/1.1 200 "));
+  auto next = processes.start(hosts);
+  CHECK(starts_with(TwoProcesses::call(*old, "readyz\n"), "done"));
+  await_ready(*next);  // by the list received from the old process
+  // Its `ready` message does not travel with its answer to the test.
   while (!old->hands_over()) std::this_thread::yield();
   std::atomic<bool> ended{false};
   std::thread end([&] {
@@ -61,86 +63,87 @@
     ended = true;
   });
   CHECK(idle.closed());
-  CHECK(starts(Platform::call(*old, "readyz\n"), "error"));
-  Peer late = platform.client();
+  CHECK(starts_with(TwoProcesses::call(*old, "readyz\n"), "error"));
+  Peer late = processes.client();
   late.write("GET /health/ready HTTP/1.1\r\n\r\n");
-  CHECK(starts(late.message(), "HTTP/1.1 200 "));
-  // Guards a payout against a second run: its id is in work at the other process.
+  CHECK(starts_with(late.message(), "HTTP/1.1 200 "));
+  // Guards a payout against a second run: its id is in progress at the other process.
   late.write(query_text("a1", "refund-payout"));
-  CHECK(starts(late.message(), "HTTP/1.1 400 "));
+  CHECK(starts_with(late.message(), "HTTP/1.1 400 "));
   first.write(done("a1", "one"));
   const std::string answer = busy.message();
   CHECK(answer.ends_with("\r\n\r\none"));
-  CHECK(has(answer, "Connection: close\r\n"));
-  while (!ended) platform.clock.set(platform.clock.now() + 1);
+  CHECK(contains(answer, "Connection: close\r\n"));
+  while (!ended) processes.clock.set(processes.clock.now() + 1);
   end.join();
   old.reset();
-  Peer after = platform.client();
+  Peer after = processes.client();
   after.write("GET /health/ready HTTP/1.1\r\n\r\n");
-  CHECK(starts(after.message(), "HTTP/1.1 200 "));
+  CHECK(starts_with(after.message(), "HTTP/1.1 200 "));
 }
 
-TEST_CASE("a ban holds across an upgrade, and while both live a call to one holds at the other") {
-  Platform platform;
-  const Hosts hosts{host_json("w", platform.worker.dial())};
-  auto old = platform.start(hosts);
-  const Peer watch = confirm_list(platform.discovery, *old);
-  CHECK(starts(Platform::call(*old, "exclude w\n"), "done"));
-  CHECK(starts(Platform::call(*old, "exclude v\n"), "error"));
-  auto next = platform.start(hosts);
+TEST_CASE("an exclusion persists across a hot restart, and a command to one process applies to the other") {
+  TwoProcesses processes;
+  const Hosts hosts{host_json("w", processes.worker.dial())};
+  auto old = processes.start(hosts);
+  const Peer watch = confirm_list(processes.discovery, *old);
+  CHECK(starts_with(TwoProcesses::call(*old, "exclude w\n"), "done"));
+  CHECK(starts_with(TwoProcesses::call(*old, "exclude v\n"), "error"));
+  auto next = processes.start(hosts);
   await_ready(*next);
   old.reset();
   const auto ask = [&](const std::string& id) {
-    Peer link = platform.client();
+    Peer link = processes.client();
     link.write(query_text(id, "refund-payout"));
     return link.message();
   };
-  CHECK(starts(ask("b1"), "HTTP/1.1 503 "));
-  auto third = platform.start(hosts);
-  CHECK(starts(Platform::call(*third, "include w\n"), "done"));
-  third.reset();  // the word goes out all the same
-  while (!has(Platform::call(*next, "telemetry\n"), "app.ejected:0|g\n")) std::this_thread::yield();
-  Peer client = platform.client();
+  CHECK(starts_with(ask("b1"), "HTTP/1.1 503 "));
+  auto third = processes.start(hosts);
+  CHECK(starts_with(TwoProcesses::call(*third, "include w\n"), "done"));
+  third.reset();  // the message is sent all the same
+  while (!contains(TwoProcesses::call(*next, "telemetry\n"), "app.ejected:0|g\n")) std::this_thread::yield();
+  Peer client = processes.client();
   client.write(query_text("b2", "refund-payout"));
-  Peer link = platform.worker.accept();
+  Peer link = processes.worker.accept();
   link.message();
   link.write(done("b2", "ok"));
-  CHECK(starts(client.message(), "HTTP/1.1 200 "));
+  CHECK(starts_with(client.message(), "HTTP/1.1 200 "));
 }
 
 TEST_CASE(
-    "what an ended process left in the folder does no harm, and a descriptor that does not listen is "
-    "refused") {
-  Platform platform;
-  platform.start({}).reset();
-  CHECK_FALSE(std::filesystem::is_empty(platform.folder));
-  auto node = platform.start({});
+    "the leftover socket of an ended process is harmless, and a descriptor that does not listen is refused") {
+  TwoProcesses processes;
+  processes.start({}).reset();
+  CHECK_FALSE(std::filesystem::is_empty(processes.folder));
+  auto node = processes.start({});
   CHECK_FALSE(node->hands_over());
-  platform.clock.set(kNow + 6'000);  // no list comes
+  processes.clock.set(kNow + 6'000);  // no list arrives
   await_ready(*node);
-  Peer link = platform.client();
+  Peer link = processes.client();
   CHECK_THROWS_AS(net::Socket::adopt_listener(link.socket.fd()), std::runtime_error);
   CHECK_THROWS_AS(net::Socket::adopt_listener(12345), std::runtime_error);
 }
 
-// Guards cold workers' use in an upgrade: the old process kept half of the turns at them and sent nothing.
-TEST_CASE("one that takes clients no more leaves its turns at cold workers to the other") {
-  Platform platform;
+// Guards the use of cold workers in a hot restart: the old process once kept half of the turns at them and
+// sent nothing.
+TEST_CASE("a process that no longer accepts clients leaves its turns at cold workers to the other") {
+  TwoProcesses processes;
   core::Inbox old_inbox, next_inbox;
   const auto unused = [](std::size_t) {};
-  park::Park park(platform.clock);
-  net::Succession old(platform.clock, old_inbox, park, unused),
-      next(platform.clock, next_inbox, park, unused);
+  park::Park park(processes.clock);
+  net::Succession old(processes.clock, old_inbox, park, unused),
+      next(processes.clock, next_inbox, park, unused);
   const auto await = [](core::Inbox& inbox, int sharers) {
     for (int tries = 0; tries < 100; ++tries, inbox.wait(100))
       for (const core::Message& message : inbox.take())
-        if (const auto* told = std::get_if<core::Sharers>(&message); told && told->processes == sharers)
+        if (const auto* sharers_message = std::get_if<core::Sharers>(&message);
+            sharers_message && sharers_message->processes == sharers)
           return;
     FAIL("never " << sharers);
   };
-  old.meet(platform.folder, "s", 0);
+  old.meet(processes.folder, "s", 0);
   old.set_ready(true);
-  next.meet(platform.folder, "s", 0);
+  next.meet(processes.folder, "s", 0);
   await(next_inbox, 2);
   await(old_inbox, 1);
   next.set_ready(true);
@@ -162,115 +165,115 @@
     }
 }
 
-// Guards the drain rule across an upgrade: what the old process was told counts as told to both, and the new
-// one may have no watch yet, or none of it may work.
+// Guards the drain rule across a hot restart: a drain that the old process received takes effect in both,
+// even if the new process has no watch yet, or no working one.
 TEST_CASE(
-    "a drain and a worker's end that the old process was told hold at the new one, whatever its config "
-    "remembers") {
-  Platform platform;
+    "a drain and a removal received by the old process apply to the new one, whatever its config remembers") {
+  TwoProcesses processes;
   Port other;
-  const Hosts hosts{host_json("w", platform.worker.dial()), host_json("gone", other.dial())};
-  auto old = platform.start(hosts);
-  Peer watch = platform.discovery.accept();
+  const Hosts hosts{host_json("w", processes.worker.dial()), host_json("gone", other.dial())};
+  auto old = processes.start(hosts);
+  Peer watch = processes.discovery.accept();
   watch.message();
   watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   const std::string line =
       nlohmann::json{
-          {"seq", 50}, {"whole", true}, {"hosts", {host_json("w", platform.worker.dial(), "Terminating")}}}
+          {"seq", 50}, {"whole", true}, {"hosts", {host_json("w", processes.worker.dial(), "Terminating")}}}
           .dump() +
       "\n";
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", line.size());
   watch.write(size + line + "\r\n");
-  while (!has(Platform::call(*old, "telemetry\n"), "app.discovered:1|g")) std::this_thread::yield();
-  auto next = platform.start(hosts);  // nobody answers its watch
-  while (!has(Platform::call(*next, "telemetry\n"), "app.discovered:1|g")) std::this_thread::yield();
+  while (!contains(TwoProcesses::call(*old, "telemetry\n"), "app.discovered:1|g")) std::this_thread::yield();
+  auto next = processes.start(hosts);  // nobody answers its watch
+  while (!contains(TwoProcesses::call(*next, "telemetry\n"), "app.discovered:1|g")) std::this_thread::yield();
   old.reset();
-  Peer client = platform.client();
+  Peer client = processes.client();
   client.write(query_text("a1", "receipt-check"));
-  CHECK(starts(client.message(), "HTTP/1.1 503 "));
-  CHECK(has(Platform::call(*next, "telemetry\n"), "app.forwards.receipt-check:0|c"));
+  CHECK(starts_with(client.message(), "HTTP/1.1 503 "));
+  CHECK(contains(TwoProcesses::call(*next, "telemetry\n"), "app.forwards.receipt-check:0|c"));
 }
 
-// Guards what is told while both live: the new one's own watch may be slower.
-TEST_CASE("a drain that comes to one process while both live is told to the other") {
-  Platform platform;
-  const Hosts hosts{host_json("w", platform.worker.dial())};
-  auto old = platform.start(hosts);
-  Peer watch = platform.discovery.accept();
+// Guards drains received while both processes live: the watch of the new one may be slower.
+TEST_CASE("a drain received by one process while both live is sent to the other") {
+  TwoProcesses processes;
+  const Hosts hosts{host_json("w", processes.worker.dial())};
+  auto old = processes.start(hosts);
+  Peer watch = processes.discovery.accept();
   watch.message();
   watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-  auto next = platform.start(hosts);
+  auto next = processes.start(hosts);
   const std::string line = "{\"seq\":50,\"whole\":true,\"hosts\":[]}\n";
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", line.size());
   watch.write(size + line + "\r\n");
-  while (!has(Platform::call(*next, "telemetry\n"), "app.discovered:0|g")) std::this_thread::yield();
-  CHECK(has(Platform::call(*old, "telemetry\n"), "app.discovered:0|g"));
+  while (!contains(TwoProcesses::call(*next, "telemetry\n"), "app.discovered:0|g")) std::this_thread::yield();
+  CHECK(contains(TwoProcesses::call(*old, "telemetry\n"), "app.discovered:0|g"));
 }
 
-// Guards that one step of skew works, and more is refused in words.
-TEST_CASE("a process that says no version goes together with this one; one two steps away does not") {
-  for (const auto& [said, version] :
+// Guards that versions one apart work together, and that a larger difference is refused with an error
+// message.
+TEST_CASE("a process that sends no version is compatible with this one; one two versions away is not") {
+  for (const auto& [sent_text, version] :
        {std::pair{"told\n", 0}, {"version 3\ntold\nlater-word x\n", 0}, {"version 4\ntold\n", 4}}) {
-    CAPTURE(said);
-    Platform platform;
-    const Hosts hosts{host_json("w", platform.worker.dial())};
-    const core::Config config = core::read_config(config_json(hosts, platform.discovery.dial()));
+    CAPTURE(sent_text);
+    TwoProcesses processes;
+    const Hosts hosts{host_json("w", processes.worker.dial())};
+    const core::Config config = core::read_config(config_json(hosts, processes.discovery.dial()));
     char name[40];
     std::snprintf(name, sizeof name, "woadtide-%016llx",
                   static_cast<unsigned long long>(hash_of(config.name + ' ' + config.listen)));
-    const net::UnixPlace place(platform.folder, name), fresh(platform.folder, "fresh");
-    const net::Socket listener = net::listen_over(place, fresh);
+    const net::UnixPlace path(processes.folder, name), temporary(processes.folder, "fresh");
+    const net::Socket listener = net::listen_over(path, temporary);
     REQUIRE(listener);
     net::Socket link;
-    std::atomic<bool> over{false};
+    std::atomic<bool> stop{false};
     std::thread other([&] {
-      while (!link && !over) {
+      while (!link && !stop) {
         link = net::Socket{net::Fd(::accept4(listener.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
         std::this_thread::yield();
       }
-      if (link) link.send_some({said});
+      if (link) link.send_some({sent_text});
     });
     if (version == 0) {
-      CHECK_NOTHROW(platform.start(hosts));
+      CHECK_NOTHROW(processes.start(hosts));
     } else {
       CHECK_THROWS_WITH_AS(
-          platform.start(hosts),
+          processes.start(hosts),
           "the running process speaks version 4 of the protocol between processes, this one 2: versions may "
           "differ by one",
           std::runtime_error);
     }
-    over = true;
+    stop = true;
     other.join();
   }
 }
 
-// Guards that a supervisor that was started again gets the socket back, and learns of the end.
-TEST_CASE("a tether passes the listening socket, says what runs, and ends with the process") {
-  Platform platform;
-  core::Config config = core::read_config(config_json(Hosts{}, platform.discovery.dial()));
-  config.passed_socket = ::dup(platform.listener.socket.fd());
-  config.tether = platform.folder + "/tether";
+// Guards that a restarted supervisor gets the listening socket back and notices the end of the process.
+TEST_CASE("a control socket passes the listening socket, reports the version, and ends with the process") {
+  TwoProcesses processes;
+  core::Config config = core::read_config(config_json(Hosts{}, processes.discovery.dial()));
+  config.passed_socket = ::dup(processes.listener.socket.fd());
+  config.tether = processes.folder + "/tether";
   config.version = "9.9";
-  auto node = std::make_unique<Node>(config, platform.clock);
+  auto node = std::make_unique<Node>(config, processes.clock);
   net::Tethered found = net::reach(config.tether, 2'000);
   REQUIRE(found.link);
   CHECK(found.pid == ::getpid());
   CHECK(found.line == "9.9 kin 2 settings none");
-  CHECK(found.listener.port() == platform.listener.socket.port());
-  CHECK(Platform::call(*node, "version\n") == "done 9.9 kin 2 settings none\n");
-  // More callers than places: the oldest link ends, the newest stands.
-  std::vector<net::Tethered> more;
+  CHECK(found.listener.port() == processes.listener.socket.port());
+  CHECK(TwoProcesses::call(*node, "version\n") == "done 9.9 kin 2 settings none\n");
+  // More callers than the limit: the oldest connection ends, the newest stays.
+  std::vector<net::Tethered> callers;
   for (std::size_t i = 0; i < net::Tether::kMostCallers; ++i)
-    more.push_back(net::reach(config.tether, 2'000));
+    callers.push_back(net::reach(config.tether, 2'000));
   char byte = 0;
-  std::size_t got = 0;
+  std::size_t byte_count = 0;
   core::Clock real;
-  CHECK(found.link.receive(&byte, 1, got, real.now() + 2'000, real) == net::Io::ended);
-  CHECK(more.back().link.receive(&byte, 1, got) == net::Io::late);
+  CHECK(found.link.receive(&byte, 1, byte_count, real.now() + 2'000, real) == net::Io::ended);
+  CHECK(callers.back().link.receive(&byte, 1, byte_count) == net::Io::late);
   node.reset();
-  CHECK(more.back().link.receive(&byte, 1, got, real.now() + 2'000, real) == net::Io::ended);
+  CHECK(callers.back().link.receive(&byte, 1, byte_count, real.now() + 2'000, real) == net::Io::ended);
   CHECK_FALSE(net::reach(config.tether, 100).link);
 }
 
--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -1,6 +1,5 @@
-// What a whole dispatcher owes over real connections when things happen in the worst order: clients that
-// leave before a further attempt, descriptors that run short, lists that come late, peers that reset or say
-// nothing.
+// Guarantees of a whole dispatcher over real connections when events happen in the worst order: clients that
+// leave before another attempt, exhausted descriptors, late lists, and peers that reset or stay silent.
 #include <fcntl.h>
 #include <poll.h>
 #include <sys/resource.h>
@@ -20,19 +19,19 @@
 namespace woadtide {
 namespace {
 
-// Real time. An attempt may begin up to 0.1 s after its client has gone; none begins in twice that.
-constexpr int kNothingMs = 200;
-// Real time. The kernel repeats a connect that was not answered after 1 s.
+// Real time. An attempt may begin up to 0.1 s after its client has gone; none begins within twice that.
+constexpr int kNoAttemptMs = 200;
+// Real time. The kernel repeats an unanswered connect after 1 s.
 constexpr int kConnectRepeatMs = 1'500;
-// As the dispatcher has it: a list is silent once two lines of discovery's, each due in 2 s, did not come.
+// As in the dispatcher: a watch is silent once two lines of discovery, each due within 2 s, did not come.
 constexpr double kListSilenceMs = 4'000;
 
 std::string list_line(int seq, bool whole, Hosts hosts) {
   return nlohmann::json{{"seq", seq}, {"whole", whole}, {"hosts", std::move(hosts)}}.dump();
 }
 
-// One more line on a list connection that is open.
-void say(Peer& list, const std::string& line) {
+// Sends one more line on an open watch.
+void send_line(Peer& list, const std::string& line) {
   std::array<char, 16> size{};
   std::snprintf(size.data(), size.size(), "%zx\r\n", line.size() + 1);
   list.write(size.data() + line + "\n\r\n");
@@ -40,14 +39,15 @@
 
 std::string failed(const std::string& id) { return chunked({event(id, "failed")}) + "0\r\n\r\n"; }
 
-// A worker's answer after which it closes the connection: the next attempt there needs a connect.
+// A worker's response after which it closes the connection: the next attempt there needs a connect.
 std::string done_and_close(const std::string& id, const std::string& result) {
   std::string text = done(id, result);
   return text.insert(text.find("Transfer-Encoding"), "Connection: close\r\n");
 }
 
-// A figure of the dispatcher's own. What the event loop had before the call has been done by then.
-void await_figure(Served& served, const std::string& name, std::size_t value) {
+// Waits for a metric of the dispatcher. Everything that the event loop had before the call has been processed
+// by then.
+void await_metric(Served& served, const std::string& name, std::size_t value) {
   const std::string line = "app." + name + ":" + std::to_string(value) + "|";
   await([&] { return served.call("telemetry\n").find(line) != std::string::npos; });
 }
@@ -64,13 +64,13 @@
     for (std::size_t i = 0; i < ports.size(); ++i) all.push_back(host(i));
     return all;
   }
-  // Who gets a connection next.
+  // Index of the worker that gets the next connection.
   std::size_t next() {
     std::vector<pollfd> listeners;
     for (const Port& port : ports) listeners.push_back({port.socket.fd(), POLLIN, 0});
     REQUIRE_MESSAGE(::poll(listeners.data(), listeners.size(), 10'000) > 0, "no worker got a connection");
-    const auto found =
-        std::find_if(listeners.begin(), listeners.end(), [](const pollfd& one) { return one.revents != 0; });
+    const auto found = std::find_if(listeners.begin(), listeners.end(),
+                                    [](const pollfd& listener) { return listener.revents != 0; });
     return static_cast<std::size_t>(found - listeners.begin());
   }
   // From here on connects to it wait: one connection that nobody accepts fills the kernel's queue.
@@ -82,7 +82,7 @@
     REQUIRE(::listen(ports[which].socket.fd(), 16) == 0);
     ports[which].accept();
   }
-  // Whether a connect to it waits.
+  // Whether a connect to it is waiting.
   bool connect_waits(std::size_t which) const {
     std::array<char, 32> wanted{};
     std::snprintf(wanted.data(), wanted.size(), "0100007F:%04X 02 ",
@@ -97,7 +97,7 @@
   std::vector<Peer> fillers;
 };
 
-// A request of its own connection that one of the workers serves. Returns which.
+// Sends a request on its own connection and serves it from one of the workers. Returns the worker's index.
 std::size_t serve_one(Served& served, Workers& workers, const std::string& id) {
   Peer client = served.client();
   client.write(query_text(id, "receipt-check"));
@@ -111,7 +111,7 @@
 
 // Clients that have left ---------------------------------------------------------------------------------
 
-// The one that stays shows that the further attempt would have come.
+// The client that stays proves that another attempt would have been made.
 enum class Client { stays, closes, half_closes, resets };
 constexpr Client kClients[] = {Client::stays, Client::closes, Client::half_closes, Client::resets};
 
@@ -121,12 +121,12 @@
   peer.socket = net::Socket{};
 }
 
-// A request that may be repeated; its first attempt is at one of the workers, and has not ended.
+// A request that may be repeated; its first attempt is running on one of the workers.
 struct FirstAttempt {
   static constexpr const char* kId = "a1";
-  explicit FirstAttempt(std::size_t count, const Served::Change& change = {}, park::Crew::Start start = {},
+  explicit FirstAttempt(std::size_t count, const Served::ConfigEdit& edit = {}, park::Crew::Start start = {},
                         int requests_before = 0)
-      : workers(count), served(workers.hosts(), change, std::move(start)) {
+      : workers(count), served(workers.hosts(), edit, std::move(start)) {
     for (int i = 0; i < requests_before; ++i) serve_one(served, workers, "b" + std::to_string(i));
     client = served.client();
     client->write(query_text(kId, "receipt-check"));
@@ -134,15 +134,15 @@
     link = workers.ports[first].accept();
     link->message();
   }
-  // Once it returns, the dispatcher has heard of it.
+  // When it returns, the dispatcher has noticed that the client left.
   void leave(Client how) {
     if (how == Client::stays) return;
     if (how == Client::closes) client.reset();
     if (how == Client::half_closes) client->socket.shut(SHUT_WR);
     if (how == Client::resets) reset_connection(*client);
-    await_figure(served, "outstanding", 0);
+    await_metric(served, "outstanding", 0);
   }
-  // The further attempt comes there for a client that stays, and for no other.
+  // Another attempt is made there for a client that stays, and for no other.
   void check_further_attempt(Client how, std::size_t where, int within_ms) {
     if (how != Client::stays) {
       CHECK_FALSE(comes(workers.ports[where].socket, within_ms));
@@ -166,11 +166,11 @@
     FirstAttempt attempt(2);
     attempt.leave(how);
     attempt.link->write(failed(FirstAttempt::kId));
-    attempt.check_further_attempt(how, 1 - attempt.first, kNothingMs);
+    attempt.check_further_attempt(how, 1 - attempt.first, kNoAttemptMs);
   }
 }
 
-TEST_CASE("a further attempt that waits for its connect does not begin once its client has left") {
+TEST_CASE("another attempt that waits for its connect does not begin once its client has left") {
   for (const Client how : kClients) {
     CAPTURE(static_cast<int>(how));
     FirstAttempt attempt(2);
@@ -184,58 +184,59 @@
   }
 }
 
-// Threads of the crew that are started while `holds` is set, and wait before their first work until released.
+// Pool threads that are started while `hold_new_threads` is set, and wait before their first task until
+// released.
 struct HeldThreads {
   park::Crew::Start start() {
     return [this](const std::string& name, std::function<void()> body) {
-      if (!holds) return park::Thread(name, std::move(body));
-      held += 1;
+      if (!hold_new_threads) return park::Thread(name, std::move(body));
+      held_count += 1;
       return park::Thread(name, [released = released, body = std::move(body)] {
         released.wait();
         body();
       });
     };
   }
-  std::atomic<bool> holds{false};
-  std::atomic<int> held{0};
+  std::atomic<bool> hold_new_threads{false};
+  std::atomic<int> held_count{0};
   std::promise<void> release;
   std::shared_future<void> released = release.get_future().share();
 };
 
-// False where a thread that had just ended its work took the attempt: it was not held.
+// Returns false if a thread that had just become idle took the attempt, so that it was not held.
 bool check_attempt_held_by_thread(Client how) {
   const auto threads = std::make_unique<HeldThreads>();
   FirstAttempt attempt(2, {}, threads->start());
-  struct ReleaseAtEnd {  // also where a check has thrown
+  struct ReleaseAtEnd {  // also if a check has thrown
     ~ReleaseAtEnd() {
       if (!released) threads.release.set_value();
     }
     HeldThreads& threads;
     bool released = false;
   } end{*threads};
-  // Calls that come to no end take the threads that rest, until a new one is wanted.
-  threads->holds = true;
+  // Commands that never complete occupy the idle threads until a new one is needed.
+  threads->hold_new_threads = true;
   std::vector<Peer> callers;
-  while (threads->held == 0) {
+  while (threads->held_count == 0) {
     REQUIRE(callers.size() < net::Management::kMostCallers / 2);
     callers.push_back(Peer::to(attempt.served.node.management_port()));
     callers.back().write("read");
-    comes(callers.back().socket, 50);  // nothing does: the time in which it gets a thread
+    comes(callers.back().socket, 50);  // nothing arrives: this is the time in which the command gets a thread
   }
-  const int callers_held = threads->held;
+  const int callers_held = threads->held_count;
   const std::size_t other = 1 - attempt.first;
   attempt.link->write(failed(FirstAttempt::kId));
-  await([&] { return threads->held > callers_held || comes(attempt.workers.ports[other].socket, 0); });
-  threads->holds = false;
-  if (threads->held == callers_held) return false;
+  await([&] { return threads->held_count > callers_held || comes(attempt.workers.ports[other].socket, 0); });
+  threads->hold_new_threads = false;
+  if (threads->held_count == callers_held) return false;
   attempt.leave(how);
   threads->release.set_value();
   end.released = true;
-  attempt.check_further_attempt(how, other, kNothingMs);
+  attempt.check_further_attempt(how, other, kNoAttemptMs);
   return true;
 }
 
-TEST_CASE("a further attempt that waits for a thread does not begin once its client has left") {
+TEST_CASE("another attempt that waits for a thread does not begin once its client has left") {
   for (const Client how : kClients) {
     CAPTURE(static_cast<int>(how));
     int tries = 0;
@@ -243,8 +244,8 @@
   }
 }
 
-// The second attempt is at a worker that drains meanwhile, so that it would go on to a third one.
-TEST_CASE("a further attempt whose worker drains goes to no third one once its client has left") {
+// The second attempt is on a worker that drains meanwhile, so that the request would move on to a third one.
+TEST_CASE("another attempt whose worker drains moves to no third worker once its client has left") {
   for (const Client how : kClients) {
     CAPTURE(static_cast<int>(how));
     FirstAttempt attempt(3);
@@ -256,9 +257,9 @@
     await([&] { return workers.connect_waits(others[0]) || workers.connect_waits(others[1]); });
     const std::size_t second = workers.connect_waits(others[0]) ? others[0] : others[1];
     const std::size_t third = 3 - attempt.first - second;
-    const nlohmann::json one_more = host_json("more", "127.0.0.1:1", "Terminating");
-    say(list, list_line(42, false, {workers.host(second, "Terminating"), one_more}));
-    await_figure(attempt.served, "discovered", 4);
+    const nlohmann::json other_host = host_json("more", "127.0.0.1:1", "Terminating");
+    send_line(list, list_line(42, false, {workers.host(second, "Terminating"), other_host}));
+    await_metric(attempt.served, "discovered", 4);
     attempt.leave(how);
     for (const std::size_t other : others) workers.take_connects(other);
     if (how == Client::stays) CHECK(workers.ports[second].accept().closed());
@@ -269,28 +270,28 @@
 
 // An attempt that does not start in time is cancelled, and the request goes to another worker.
 TEST_CASE(
-    "when an attempt's time to start has passed, a request whose client has left goes to no other worker") {
+    "when an attempt has not started in time, a request whose client has left goes to no other worker") {
   const auto moves = [](nlohmann::json& config) {
     config["settings"]["Domain"]["TellsStart"] = true;
     config["settings"]["PolicyLimits"]["Cancel"] = true;
   };
-  constexpr int kForOneMove = 6;  // requests: one in five may be moved
+  constexpr int kRequestsBeforeMove = 6;  // requests: one in five may be moved
   for (const Client how : kClients) {
     CAPTURE(static_cast<int>(how));
-    FirstAttempt attempt(2, moves, {}, kForOneMove);
+    FirstAttempt attempt(2, moves, {}, kRequestsBeforeMove);
     const std::size_t other = 1 - attempt.first;
     attempt.leave(how);
     for (const double passed : {110, 220, 330}) {
       attempt.served.clock.set(kNow + passed);
-      if (comes(attempt.workers.ports[other].socket, kNothingMs)) break;
+      if (comes(attempt.workers.ports[other].socket, kNoAttemptMs)) break;
     }
-    attempt.check_further_attempt(how, other, kNothingMs);
+    attempt.check_further_attempt(how, other, kNoAttemptMs);
   }
 }
 
 // Descriptors --------------------------------------------------------------------------------------------
 
-// From here on, until it ends, so many more descriptors can be had in this process.
+// Limits this process to `count` more descriptors during its lifetime.
 struct DescriptorLimit {
   explicit DescriptorLimit(std::size_t count) {
     REQUIRE(::getrlimit(RLIMIT_NOFILE, &before) == 0);
@@ -303,25 +304,25 @@
   rlimit before{};
 };
 
-// Guards against an outage that outlives its cause: with all connections in use that the limits allow, by
-// clients and by workers that do not answer, what brings the way out of it needs descriptors of its own.
-TEST_CASE("idle clients and silent workers leave the list, a new worker and management their descriptors") {
+// Guards against an outage that outlives its cause: when clients and workers that do not respond use all
+// connections that the limits allow, recovery needs descriptors of its own.
+TEST_CASE("idle clients and silent workers leave descriptors for the watch, a new worker and management") {
   constexpr std::size_t kSockets = 160, kMemoryMb = 192, kWorkers = 12;
   const Budget budget(kSockets, kMemoryMb);
   const std::size_t busy_count = budget.server_links - 2, idle_count = budget.client_links - busy_count;
   Port silent, fresh;
   const net::Address anywhere("127.0.0.1:0");
-  const net::Socket discovery = net::Socket::make(anywhere);  // bound, and down until it listens
+  const net::Socket discovery = net::Socket::make(anywhere);  // bound, but down until it listens
   REQUIRE(::bind(discovery.fd(), reinterpret_cast<const sockaddr*>(&anywhere.storage), anywhere.length) == 0);
   Hosts hosts;
   for (std::size_t i = 0; i < kWorkers; ++i)
     hosts.push_back(host_json("silent" + std::to_string(i), silent.dial()));
-  // The test's own descriptors are all there before those of the dispatcher are counted.
+  // The test's own descriptors are all open before those of the dispatcher are counted.
   std::vector<Peer> busy, idle;
   for (std::size_t i = 0; i < busy_count; ++i) busy.emplace_back(net::Socket::make(anywhere));
   for (std::size_t i = 0; i < idle_count; ++i) idle.emplace_back(net::Socket::make(anywhere));
   Peer last(net::Socket::make(anywhere));
-  std::vector<net::Fd> spare;  // for what the test accepts, and for its calls
+  std::vector<net::Fd> spare;  // for the connections that the test accepts, and for its commands
   for (int i = 0; i < 3; ++i) spare.emplace_back(::dup(0));
   const DescriptorLimit limit(kSockets + 1);  // and for the listener that every Served has
   Served served(std::move(hosts), [&](nlohmann::json& config) {
@@ -331,7 +332,7 @@
     for (nlohmann::json& kind : config["settings"]["Categories"])
       kind["DeadlineUs"] = kind["PromiseUs"] = 60'000'000;
   });
-  // Discovery is down from the start: what is remembered comes into force as no other list is to be had.
+  // Discovery is down from the start: the remembered list comes into force because no other one is available.
   for (int i = 0; i < 40; ++i) {
     served.clock.set(served.clock.now() + 100);
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -346,14 +347,14 @@
     busy[i].write(request("busy" + std::to_string(i)));
   }
   const std::string ask_live = "GET /health/live HTTP/1.1\r\n\r\n";
-  for (Peer& one : idle) {
-    REQUIRE(one.socket.connect(front, 5'000));
-    one.write(ask_live);
-    CHECK(one.message().starts_with("HTTP/1.1 200 "));
+  for (Peer& peer : idle) {
+    REQUIRE(peer.socket.connect(front, 5'000));
+    peer.write(ask_live);
+    CHECK(peer.message().starts_with("HTTP/1.1 200 "));
   }
   spare.pop_back();
-  await_figure(served, "forwards.receipt-check", busy_count);
-  // Discovery is asked again and again while it is down, and each time it takes a descriptor.
+  await_metric(served, "forwards.receipt-check", busy_count);
+  // Discovery is called repeatedly while it is down, and each call takes a descriptor.
   for (int i = 0; i < 20; ++i) {
     served.clock.set(served.clock.now() + 100);
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -367,7 +368,7 @@
   Peer list(net::Socket(net::Fd(::accept(discovery.fd(), nullptr, nullptr))));
   list.message();
   list.write(chunked({list_line(42, true, {host_json("fresh", fresh.dial())})}));
-  await_figure(served, "discovered", 1);
+  await_metric(served, "discovered", 1);
   CHECK(served.call("readyz\n").starts_with("done"));
   REQUIRE(last.socket.connect(front, 5'000));
   last.write(request("last"));
@@ -376,7 +377,7 @@
   link.message();
   link.write(done("last", "served"));
   CHECK(last.message().ends_with("\r\n\r\nserved"));
-  // The idle clients stay, but for the one that gave way to the last.
+  // The idle clients stay, except the one that was closed for the last client.
   for (std::size_t i = 1; i < idle_count; ++i) {
     idle[i].write(ask_live);
     CHECK(idle[i].message().starts_with("HTTP/1.1 200 "));
@@ -385,13 +386,14 @@
 
 // Lists --------------------------------------------------------------------------------------------------
 
-// Guards a drain against a move of discovery: nothing may go to the worker, whatever the new one's count is.
-TEST_CASE("a drain told at discovery's new address, right after a reload, holds for the next request") {
+// Guards a drain against a change of the discovery address: nothing may go to the worker, whatever sequence
+// the new address has.
+TEST_CASE("a drain from the new discovery address right after a reload applies to the next request") {
   Workers workers(2);
   Served served(workers.hosts());
   Peer& old = *served.watch;
-  say(old, list_line(50, true, {workers.host(0), workers.host(1), host_json("old", "127.0.0.1:1")}));
-  await_figure(served, "discovered", 3);
+  send_line(old, list_line(50, true, {workers.host(0), workers.host(1), host_json("old", "127.0.0.1:1")}));
+  await_metric(served, "discovered", 3);
   Port moved;
   served.node.reload(core::read_config(config_json(workers.hosts(), moved.dial())));
   Peer list = moved.accept();
@@ -401,27 +403,28 @@
                list_line(5, false,
                          {host_json("new", "127.0.0.1:1", "Terminating"),
                           host_json("newer", "127.0.0.1:1", "Terminating")})}));
-  await_figure(served, "discovered", 4);
+  await_metric(served, "discovered", 4);
   for (int i = 0; i < 8; ++i) CHECK(serve_one(served, workers, "a" + std::to_string(i)) == 1);
   CHECK(old.closed());
 }
 
-// Guards requests at work, and workers that are gone, where the list was not heard for a while.
-TEST_CASE("after a list that fell silent late, one that comes whole again is the list") {
+// Guards running requests, and workers that are gone, when no list was received for a while.
+TEST_CASE("after a watch with late lines fell silent, the next whole list replaces the current one") {
   Workers workers(2);
   Served served(workers.hosts());
   Peer& first = *served.watch;
-  say(first, list_line(42, true, workers.hosts()));
-  // A line each 3 s, late but no silence; then none. Each is one more host, so that it shows when it is
-  // heard.
+  send_line(first, list_line(42, true, workers.hosts()));
+  // One line every 3 s, late but not silent; then none. Each adds one host, so that its receipt can be
+  // observed.
   for (std::size_t i = 1; i <= 3; ++i) {
     served.clock.set(served.clock.now() + 3'000);
     const std::string more = "more" + std::to_string(i);
-    say(first, list_line(42 + static_cast<int>(i), false, {host_json(more, "127.0.0.1:1", "Terminating")}));
-    await_figure(served, "discovered", 2 + i);
+    send_line(first,
+              list_line(42 + static_cast<int>(i), false, {host_json(more, "127.0.0.1:1", "Terminating")}));
+    await_metric(served, "discovered", 2 + i);
   }
   served.clock.set(served.clock.now() + kListSilenceMs);
-  Peer second = served.discovery.accept();  // at once: the clock stands
+  Peer second = served.discovery.accept();  // at once: the clock does not advance
   CHECK(second.message().find("since=45 ") != std::string::npos);
   CHECK(first.closed());
   Peer client = served.client();
@@ -430,19 +433,19 @@
   Peer link = workers.ports[gone].accept();
   link.message();
   second.write(chunked({list_line(45, true, {workers.host(stays)})}));
-  await_figure(served, "discovered", 1);
+  await_metric(served, "discovered", 1);
   link.write(done_and_close("a1", "ok"));
   CHECK(client.message().ends_with("\r\n\r\nok"));
   for (int i = 0; i < 8; ++i) CHECK(serve_one(served, workers, "b" + std::to_string(i)) == stays);
 }
 
-// Guards the first request after a quiet night: the list is as fresh as if there had been some all along.
-TEST_CASE("a process that serves nobody keeps its list fresh, whatever its discovery does") {
+// Guards the first request after a quiet night: the list is as fresh as if there had been requests all along.
+TEST_CASE("a process without requests keeps its list current, whatever discovery does") {
   Workers workers(2);
   Served served(workers.hosts());
   std::optional<Peer> list = std::move(served.watch);
-  say(*list, list_line(42, true, workers.hosts()));
-  // It falls silent, is refused, and ends: asked again each time, without a request.
+  send_line(*list, list_line(42, true, workers.hosts()));
+  // The watch falls silent, is refused, and ends: discovery is called again each time without a request.
   for (const char* state : {"silent", "refused", "ended"}) {
     CAPTURE(state);
     if (std::string(state) == "refused") list->write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
@@ -456,7 +459,7 @@
   }
   const nlohmann::json more = host_json("more", "127.0.0.1:1", "Terminating");
   list->write(chunked({list_line(43, false, {workers.host(0, "Terminating"), more})}));
-  await_figure(served, "discovered", 3);
+  await_metric(served, "discovered", 3);
   for (int i = 0; i < 8; ++i) CHECK(serve_one(served, workers, "a" + std::to_string(i)) == 1);
 }
 
@@ -467,8 +470,8 @@
   return static_cast<std::size_t>(std::distance(begin(all), end(all)));
 }
 
-// Guards descriptors, and the clients that stay, against those that reset as they come.
-TEST_CASE("clients that reset right after they connect leave nothing behind, with half a request or none") {
+// Guards descriptors, and the remaining clients, against clients that reset right after connecting.
+TEST_CASE("clients that reset right after connecting, with half a request or none, leak nothing") {
   Workers workers(1);
   Served served(workers.hosts());
   Peer kept = served.client();
@@ -489,14 +492,16 @@
   CHECK(serve_one(served, workers, "a1") == 0);
 }
 
-// Guards messages against any cut, and slow ones against the time that a silent connection has.
-TEST_CASE("a request and its answer pass whole in pieces of one byte, which take longer than silence may") {
+// Guards messages against any split, and slow ones against the silence timeout of a connection.
+TEST_CASE(
+    "a request and its response in single bytes pass intact, even if they take longer than the silence "
+    "timeout") {
   Workers workers(1);
   Served served(workers.hosts());
   const std::string chunked_body =
       "POST /api HTTP/1.1\r\nX-Call-Id: c\r\nX-Call-Class: receipt-check\r\nX-Budget: 5000m\r\n"
       "Transfer-Encoding: chunked\r\n\r\n2\r\npa\r\n1\r\ny\r\n0\r\n\r\n";
-  std::optional<Peer> link;  // one for both
+  std::optional<Peer> link;  // one connection for both requests
   for (const auto& [id, text] :
        {std::pair<std::string, std::string>{"a", query_text("a", "refund-payout")}, {"c", chunked_body}}) {
     CAPTURE(id);
@@ -513,8 +518,8 @@
   }
 }
 
-// Guards the one final answer: due at the deadline, whether its worker says something later or never.
-TEST_CASE("a request that its worker leaves without an answer gets its one at its deadline") {
+// Guards the single final answer: it is due at the deadline, whether the worker responds later or never.
+TEST_CASE("a request that its worker leaves without a response is answered at its deadline") {
   Workers workers(1);
   for (const char* kind : {"receipt-check", "refund-payout"}) {
     CAPTURE(kind);
@@ -524,13 +529,13 @@
     Peer link = workers.ports[0].accept();
     link.message();
     served.clock.set(kNow + 4'990);
-    CHECK_FALSE(comes(client.socket, kNothingMs));
+    CHECK_FALSE(comes(client.socket, kNoAttemptMs));
     served.clock.set(kNow + 5'000);
     const std::string answer = client.message();
-    // A repeat of the one does no harm; of the other nobody knows.
+    // Repeating the one is harmless; the outcome of the other is unknown.
     CHECK(answer.starts_with(std::string(kind) == "refund-payout" ? "HTTP/1.1 504 " : "HTTP/1.1 503 "));
     ::send(link.socket.fd(), "HTTP", 4, MSG_NOSIGNAL);  // too late, if it can be sent at all
-    CHECK_FALSE(comes(client.socket, kNothingMs));
+    CHECK_FALSE(comes(client.socket, kNoAttemptMs));
     client.write("GET /health/live HTTP/1.1\r\n\r\n");
     CHECK(client.message().starts_with("HTTP/1.1 200 "));
   }
