--- a/src/net/succession.hpp
+++ b/src/net/succession.hpp
@@ -18,14 +18,14 @@
 
 namespace woadtide::net {
 
-// Exchanges state with the sibling processes of this dispatcher. tell(), alone(), set_ready() and
-// other_ready() may be called from any thread.
+// Exchanges state with the sibling processes of this dispatcher. Functions that send messages or
+// set or read a state may be called from any thread.
 class Succession : public core::Kin, private park::Guest {
  public:
   // `on_process_count` is called with the number of processes, this one included, when it has changed.
   Succession(const core::Clock& clock, core::Inbox& inbox, park::Park& event_loop,
              std::function<void(std::size_t process_count)> on_process_count);
-  // Calls end().
+  // Closes the connections to all siblings.
   ~Succession() override;
   Succession(const Succession&) = delete;
   Succession& operator=(const Succession&) = delete;
--- a/src/net/tether.hpp
+++ b/src/net/tether.hpp
@@ -39,7 +39,7 @@
   std::mutex mutex_;
   Socket passed_socket_;
   Socket listener_;
-  std::list<Socket> connections_;  // at most kMostCallers; the oldest is closed first
+  std::list<Socket> connections_;  // the oldest is closed first when the limit is reached
   park::Park::Token token_;
 };
 
--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -324,7 +324,7 @@
   Peer last(net::Socket::make(anywhere));
   std::vector<net::Fd> spare;  // for the connections that the test accepts, and for its commands
   for (int i = 0; i < 3; ++i) spare.emplace_back(::dup(0));
-  const DescriptorLimit limit(kSockets + 1);  // and for the listener that every Served has
+  const DescriptorLimit limit(kSockets + 1);  // and for the listener that every TestDispatcher has
   Served served(std::move(hosts), [&](nlohmann::json& config) {
     config["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
     config["limits"] = {{"sockets", kSockets}, {"memory_mb", kMemoryMb}};
