--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,3 +1,4 @@
+// Entry point of the woadtide program.
 #include "program.hpp"
 
 int main(int argc, char** argv) { return woadtide::run_program(argc, argv); }
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -15,40 +15,48 @@
 
 namespace {
 
-// Standard streams, listeners, the park, discovery's link, wake-ups, a config that is read again, callers at
-// the second address, and links that are about to close.
-constexpr std::size_t kOtherDescriptors = 28 + net::Management::kMostCallers;
-// Measured, and rounded up: the program without links, and a link's state.
+// Descriptors for everything but client and server links: standard streams, listeners, the event loop, the
+// connection to service discovery, wake-ups, a config being reloaded, management callers, and links that are
+// about to close.
+constexpr std::size_t kReservedDescriptors = 28 + net::Management::kMostCallers;
+// Memory of the program without links, and of the state of one link, both rounded up.
 constexpr std::size_t kProgramBytes = 6'000'000, kLinkBytes = 20'000;
 
-// PROTOCOL: new links keep coming for 0.2 to 0.4 s after SIGTERM, and clients use those they have as long as
-// these stay open: there is no other dispatcher for them. SIGKILL comes no sooner than the longest deadline,
-// 3 s at most, plus 0.7 s after it, and what came later than 0.7 s must be answered by then.
-constexpr double kAcceptOnMs = 550;
-constexpr double kMostDeadlineMs = 3'000;
-constexpr double kFinishMs = 300;       // then all must be answered: leaves 0.4 s to write and to end
-constexpr double kLastQueriesMs = 700;  // time for the last queries taken: half and more are done in it
-constexpr double kLastAnswersMs = 150;
-
-// An evacuation must have no query of its last 2 s at 4 s.
-constexpr double kReadOnMs = 1'800;
-
-// Threads beside those that executions may need: for the watch, and for callers at the second address.
-constexpr std::size_t kUrgent = net::Management::kMostCallers + 2;
-
-// An upgrade's next process gets 6 s to be ready, and so may restarted ones: less time to be heard of.
-constexpr double kMostAdmissionMs = 5'500;
-
-// Of the 6 s in which a next process is to be ready, for a machine that is short of descriptors or memory.
-constexpr double kListenMs = 2'000;
-
-constexpr int kLoopMs = 900;     // a call is owed its answer in 1 s
-constexpr double kTellMs = 500;  // for the process that runs already to tell what it knows
-
-double longest_deadline(const woadtide::Settings& settings) {
-  double longest = 0;
-  for (const auto& kind : settings.classes) longest = std::max(longest, core::to_ms(kind.deadline));
-  return longest;
+// The protocol: after SIGTERM, new client links keep arriving for 0.2 to 0.4 s, and clients use their
+// existing links for as long as these stay open, because they have no other dispatcher. SIGKILL follows
+// SIGTERM no sooner than the longest deadline (3 s at most) plus 0.7 s, and queries that arrived later than
+// 0.7 s must be answered by then.
+constexpr double kKeepAcceptingMs = 550;
+constexpr double kMaxDeadlineMs = 3'000;
+constexpr double kAnswerMarginMs =
+    300;  // everything is answered by then, which leaves 0.4 s to write and to exit
+constexpr double kLastQueriesMs =
+    700;  // time for the last accepted queries: at least half complete within it
+constexpr double kLastAnswersMs = 150;  // for answers to be written
+
+// 4 s after an evacuation began, no query may have arrived in the preceding 2 s.
+constexpr double kEvacuationReadMs = 1'800;
+
+// Threads beyond those that executions may need: for the watch on service discovery and for management
+// callers.
+constexpr std::size_t kReservedThreads = net::Management::kMostCallers + 2;
+
+// The next process of an upgrade has 6 s to become ready, and so may a restarted one; this is less, which
+// leaves time for it to be noticed.
+constexpr double kMaxListWaitMs = 5'500;
+
+// How long to retry opening a listener on a machine that is short of descriptors or memory; part of the 6 s
+// in which the next process must become ready.
+constexpr double kListenTimeoutMs = 2'000;
+
+constexpr int kDecisionLoopTimeoutMs = 900;  // a management call must be answered within 1 s
+constexpr double kHandshakeTimeoutMs = 500;  // for the running process to send its state
+
+double longest_deadline_ms(const woadtide::Settings& settings) {
+  double longest_ms = 0;
+  for (const auto& query_class : settings.classes)
+    longest_ms = std::max(longest_ms, core::to_ms(query_class.deadline));
+  return longest_ms;
 }
 
 net::ServerLinks::Limits server_limits(const woadtide::Settings& settings, const Budget& budget) {
@@ -63,86 +71,94 @@
 
 Budget::Budget(std::size_t descriptors, std::size_t memory_mb, std::size_t processes) {
   descriptors /= processes;
-  // Each link holds one descriptor, and state of some kLinkBytes. Clients' queries take
-  // up to a third of the descriptors; each may need a server link, and bad clients come on top of them.
-  const std::size_t for_links = std::max(descriptors, 2 * kOtherDescriptors) - kOtherDescriptors;
-  const std::size_t bytes = memory_mb * 1'000'000 / 100 * 85 / processes;
-  const std::size_t for_all = bytes - std::min(bytes, kProgramBytes);
-  // Of what is kept free beside that, the endpoint list may take half at its peak.
-  const std::size_t kept_free = memory_mb * 1'000'000 / processes - bytes;
-  list = endpoints::endpoint_limits(kept_free / 2 * endpoints::kMemoryShare);
-  // Most queries take one buffer: with one and a half for each client link the links come first.
-  const std::size_t affordable = for_all / (kLinkBytes + net::kBufferBytes);
-  const std::size_t links = std::max<std::size_t>(std::min(for_links, affordable), 8);
+  // Each link holds one descriptor and about kLinkBytes of state. Queries of clients take up to a third of
+  // the descriptors; each may need a server link, and misbehaving clients come on top.
+  const std::size_t descriptors_for_links =
+      std::max(descriptors, 2 * kReservedDescriptors) - kReservedDescriptors;
+  const std::size_t usable_bytes = memory_mb * 1'000'000 / 100 * 85 / processes;
+  const std::size_t link_memory_bytes = usable_bytes - std::min(usable_bytes, kProgramBytes);
+  // Of the 15 % of memory kept free beyond that, the endpoint list may take half at its peak.
+  const std::size_t reserved_bytes = memory_mb * 1'000'000 / processes - usable_bytes;
+  list = endpoints::endpoint_limits(reserved_bytes / 2 * endpoints::kMemoryShare);
+  // Most queries take one buffer, so memory is given to links first; the rest becomes buffers, about one and
+  // a half for each client link.
+  const std::size_t links_by_memory = link_memory_bytes / (kLinkBytes + net::kBufferBytes);
+  const std::size_t links = std::max<std::size_t>(std::min(descriptors_for_links, links_by_memory), 8);
   server_links = links * 2 / 5;
   client_links = links - server_links;
   worker_buffers = server_links / 4 + 4;
-  const std::size_t taken = links * kLinkBytes + worker_buffers * net::kBufferBytes;
-  const std::size_t left = (for_all - std::min(for_all, taken)) / net::kBufferBytes;
-  // More than five for each client link are never needed: that is the largest body.
-  client_buffers = std::clamp<std::size_t>(left, 16, 5 * client_links);
+  const std::size_t used_bytes = links * kLinkBytes + worker_buffers * net::kBufferBytes;
+  const std::size_t remaining_buffers =
+      (link_memory_bytes - std::min(link_memory_bytes, used_bytes)) / net::kBufferBytes;
+  // A client link never needs more than five buffers: they hold the largest body.
+  client_buffers = std::clamp<std::size_t>(remaining_buffers, 16, 5 * client_links);
 }
 
-void check_addresses(const core::Config& config) {
+void validate_addresses(const core::Config& config) {
   net::Address(config.listen);
   net::Address(config.discovery);
   if (!config.management.empty()) net::Address(config.management);
   for (const core::Host& host : config.known.hosts) net::Address(host.dial);
 }
 
-Node::Node(core::Config config, core::Clock& clock, const Adder& adder, park::Crew::Start start)
+Node::Node(core::Config config, core::Clock& clock, const ExtensionFactory& extension_factory,
+           park::Crew::Start start)
     : clock_(clock),
-      longest_ms_(longest_deadline(config.settings)),
-      version_(core::version_line(config)),
-      sockets_(config.sockets),
-      memory_mb_(config.memory_mb),
-      budget_(sockets_, memory_mb_),
+      longest_deadline_ms_(longest_deadline_ms(config.settings)),
+      version_line_(core::version_line(config)),
+      max_descriptors_(config.sockets),
+      max_memory_mb_(config.memory_mb),
+      budget_(max_descriptors_, max_memory_mb_),
       listener_(config.passed_socket >= 0
                     ? net::Socket::adopt_listener(config.passed_socket)
-                    : net::Socket::listen_patiently(net::Address(config.listen), kListenMs)),
-      passed_(config.tether.empty() ? net::Socket() : listener_.another()),
-      management_listener_(config.management.empty()
-                               ? net::Socket()
-                               : net::Socket::listen_patiently(net::Address(config.management), kListenMs)),
+                    : net::Socket::listen_patiently(net::Address(config.listen), kListenTimeoutMs)),
+      listener_duplicate_(config.tether.empty() ? net::Socket() : listener_.another()),
+      management_listener_(
+          config.management.empty()
+              ? net::Socket()
+              : net::Socket::listen_patiently(net::Address(config.management), kListenTimeoutMs)),
       port_(listener_.port()),
       management_port_(management_listener_ ? management_listener_.port() : 0),
       client_pool_(budget_.client_buffers),
       worker_pool_(budget_.worker_buffers),
-      park_(clock),
-      crew_({.most = budget_.server_links, .reserve = kUrgent}, std::move(start)),
-      admission_(*this, park_),
-      hosts_(
-          config.discovery, config.known, clock, inbox_, worker_pool_, park_, crew_,
+      event_loop_(clock),
+      thread_pool_({.most = budget_.server_links, .reserve = kReservedThreads}, std::move(start)),
+      admission_(*this, event_loop_),
+      endpoint_client_(
+          config.discovery, config.known, clock, inbox_, worker_pool_, event_loop_, thread_pool_,
           config.settings.list_on_request ? net::HostGroup::Way::asked : net::HostGroup::Way::pushed,
           net::HostGroup::kSilenceMs, [this] { admission_.on_list(); }, budget_.list),
-      servers_(server_limits(config.settings, budget_), clock, inbox_, hosts_, worker_pool_, park_, crew_),
-      kin_(clock, inbox_, park_, [this](std::size_t processes) { share_out(processes); }),
-      addition_(adder ? adder({config.settings, config.class_names, clock, inbox_, servers_, hosts_, park_})
-                      : nullptr),
-      loop_(config.settings, config.class_names, config.seed, clock, inbox_,
-            addition_ ? addition_->executor() : servers_, hosts_, kin_,
-            addition_ ? addition_->witness() : nullptr),
-      decider_(loop_, inbox_, park_, clock),
-      front_(inbox_),
-      side_{clock, client_pool_, park_, front_},
-      clients_(std::move(listener_), budget_.client_links, side_),
-      leaving_{*this} {
+      server_links_(server_limits(config.settings, budget_), clock, inbox_, endpoint_client_, worker_pool_,
+                    event_loop_, thread_pool_),
+      hot_restart_(clock, inbox_, event_loop_, [this](std::size_t processes) { apply_budget(processes); }),
+      extension_(extension_factory ? extension_factory({config.settings, config.class_names, clock, inbox_,
+                                                        server_links_, endpoint_client_, event_loop_})
+                                   : nullptr),
+      decision_loop_(config.settings, config.class_names, config.seed, clock, inbox_,
+                     extension_ ? extension_->executor() : server_links_, endpoint_client_, hot_restart_,
+                     extension_ ? extension_->witness() : nullptr),
+      decision_loop_handler_(decision_loop_, inbox_, event_loop_, clock),
+      http_front_(inbox_),
+      client_side_{clock, client_pool_, event_loop_, http_front_},
+      client_links_(std::move(listener_), budget_.client_links, client_side_),
+      shutdown_{*this} {
   if (!config.folder.empty()) {
-    // The address tells apart dispatchers that happen to share a folder.
+    // The listen address distinguishes dispatchers that share a directory.
     char name[40];
     std::snprintf(name, sizeof name, "woadtide-%016llx",
                   static_cast<unsigned long long>(hash_of(config.name + ' ' + config.listen)));
-    kin_.meet(config.folder, name, kTellMs);
+    hot_restart_.meet(config.folder, name, kHandshakeTimeoutMs);
   }
-  if (addition_) addition_->open();
-  clients_.start();
+  if (extension_) extension_->open();
+  client_links_.start();
   admission_.start();
-  // Before it can be asked: who hears `ready` there may look for it here.
-  if (!config.tether.empty()) tether_.emplace(park_, config.tether, version_, std::move(passed_));
+  // Before the management listener: a caller that sees `ready` there may then connect to the control socket.
+  if (!config.tether.empty())
+    control_socket_.emplace(event_loop_, config.tether, version_line_, std::move(listener_duplicate_));
   if (management_listener_)
-    management_.emplace(std::move(management_listener_), clock, park_, crew_,
-                        [this](auto call, auto argument) { return answer_call(call, argument); });
-  core::log_line("start: version " + version_);
+    management_.emplace(std::move(management_listener_), clock, event_loop_, thread_pool_,
+                        [this](auto call, auto argument) { return handle_management_call(call, argument); });
+  core::log_line("start: version " + version_line_);
   core::log_line("start: " + config.name + " serves at " + config.listen + ", client links " +
                  std::to_string(budget_.client_links) + ", server links " +
                  std::to_string(budget_.server_links));
@@ -150,62 +166,68 @@
                  " workers and " + std::to_string(budget_.list.max_update_bytes / 1'000) + " KB");
 }
 
-Node::Decider::Decider(core::DecisionLoop& to_run, core::Inbox& from, park::Park& in, const core::Clock& on)
-    : loop(to_run), inbox(from), park(in), clock(on), place(park.enter(*this, -1)) {
-  inbox.set_owner([this] { park.poke(place, {}); });
-  park.poke(place, {});  // what has come by now
+Node::DecisionLoopHandler::DecisionLoopHandler(core::DecisionLoop& decision_loop, core::Inbox& message_inbox,
+                                               park::Park& events, const core::Clock& time_source)
+    : loop(decision_loop),
+      inbox(message_inbox),
+      event_loop(events),
+      clock(time_source),
+      token(event_loop.enter(*this, -1)) {
+  inbox.set_owner([this] { event_loop.poke(token, {}); });
+  event_loop.poke(token, {});  // process messages that are already queued
 }
 
-Node::Decider::~Decider() {
-  inbox.set_owner({});  // links, the crew and the addition put into it until they end, after this
-  park.leave(place);
-  park.quiesce();
+Node::DecisionLoopHandler::~DecisionLoopHandler() {
+  inbox.set_owner({});  // links, the thread pool and the extension still put messages into it until they are
+                        // destroyed later
+  event_loop.leave(token);
+  event_loop.quiesce();
 }
 
 void Node::reload(const core::Config& config) {
-  hosts_.move(config.discovery);
+  endpoint_client_.move(config.discovery);
   core::log_line("reload: done, discovery at " + config.discovery);
 }
 
 Node::~Node() = default;
 
 void Node::Admission::start() {
-  place_ = park_.enter(*this, -1);
-  park_.wake_at(place_, node_.clock_.now() + kMostAdmissionMs);
-  if (list_told_) on_list();
+  token_ = event_loop_.enter(*this, -1);
+  event_loop_.wake_at(token_, node_.clock_.now() + kMaxListWaitMs);
+  if (list_received_) on_list();
 }
 
 void Node::Admission::stop() {
-  park_.leave(place_);
-  park_.quiesce();
+  event_loop_.leave(token_);
+  event_loop_.quiesce();
 }
 
 void Node::Admission::on_list() {
-  list_told_ = true;
-  if (place_ != park::Park::kNone) park_.poke(place_, {.readable = true});
+  list_received_ = true;
+  if (token_ != park::Park::kNone) event_loop_.poke(token_, {.readable = true});
 }
 
-void Node::admit(const char* why) {
+void Node::begin_accepting_clients(const char* reason) {
   const std::lock_guard lock(state_mutex_);
-  if (std::exchange(admitted_, true)) return;
-  core::log_line(std::string("start: clients are taken in: ") + why);
-  if (!takes_clients()) return;
-  front_.ready = true;
-  kin_.set_ready(true);
+  if (std::exchange(accepting_, true)) return;
+  core::log_line(std::string("start: clients are taken in: ") + reason);
+  if (!accepts_clients()) return;
+  http_front_.ready = true;
+  hot_restart_.set_ready(true);
 }
 
-Node::Leaving::~Leaving() {
+Node::Shutdown::~Shutdown() {
   node.admission_.stop();
-  if (node.addition_) node.addition_->close();
-  node.kin_.end();
+  if (node.extension_) node.extension_->close();
+  node.hot_restart_.end();
 }
 
-// Two processes are one dispatcher to the platform: together they stay within what it allows.
-void Node::share_out(std::size_t processes) {
-  const Budget budget(sockets_, memory_mb_, processes);
-  clients_.set_most(budget.client_links);
-  servers_.set_most(budget.server_links);
-  crew_.set_most(budget.server_links);
+// The platform counts all processes of a dispatcher as one: together they must stay within its allowance.
+void Node::apply_budget(std::size_t processes) {
+  const Budget budget(max_descriptors_, max_memory_mb_, processes);
+  client_links_.set_most(budget.client_links);
+  server_links_.set_most(budget.server_links);
+  thread_pool_.set_most(budget.server_links);
   client_pool_.set_most(budget.client_buffers);
   worker_pool_.set_most(budget.worker_buffers);
   core::log_line("upgrade: " + std::to_string(processes) + " process(es), client links " +
@@ -213,27 +235,29 @@
                  std::to_string(budget.server_links));
 }
 
-std::string Node::answer_call(std::string_view call, std::string_view argument) {
-  if (call == "exclude" && !argument.empty()) return ask_loop(core::OperatorCall::Kind::exclude, argument);
-  if (call == "include" && !argument.empty()) return ask_loop(core::OperatorCall::Kind::include, argument);
+std::string Node::handle_management_call(std::string_view call, std::string_view argument) {
+  if (call == "exclude" && !argument.empty())
+    return request_from_decision_loop(core::OperatorCall::Kind::exclude, argument);
+  if (call == "include" && !argument.empty())
+    return request_from_decision_loop(core::OperatorCall::Kind::include, argument);
   if (!argument.empty()) return "error no such call\n";
   if (call == "readyz") {
     const std::lock_guard lock(state_mutex_);
-    return takes_clients() ? "done ready\n" : "error not ready\n";
+    return accepts_clients() ? "done ready\n" : "error not ready\n";
   }
-  if (call == "version") return "done " + version_ + "\n";
-  if (call == "figures") return ask_loop(core::OperatorCall::Kind::figures, {});
-  if (call == "telemetry") return ask_loop(core::OperatorCall::Kind::telemetry, {});
+  if (call == "version") return "done " + version_line_ + "\n";
+  if (call == "figures") return request_from_decision_loop(core::OperatorCall::Kind::figures, {});
+  if (call == "telemetry") return request_from_decision_loop(core::OperatorCall::Kind::telemetry, {});
   if (call == "evacuate") return set_evacuated(true);
   if (call == "activate") return set_evacuated(false);
   return "error no such call\n";
 }
 
-std::string Node::ask_loop(core::OperatorCall::Kind kind, std::string_view worker) {
+std::string Node::request_from_decision_loop(core::OperatorCall::Kind kind, std::string_view worker) {
   core::OperatorCall call{kind, std::string(worker), {}};
   std::future<std::string> answer = call.answer.get_future();
   inbox_.put(std::move(call));
-  if (answer.wait_for(std::chrono::milliseconds(kLoopMs)) != std::future_status::ready)
+  if (answer.wait_for(std::chrono::milliseconds(kDecisionLoopTimeoutMs)) != std::future_status::ready)
     return "error it is not done yet\n";
   return answer.get();
 }
@@ -243,50 +267,52 @@
   if (ending_) return "error this process is ending\n";
   if (evacuated != std::exchange(evacuated_, evacuated)) {
     core::log_line(evacuated ? "evacuate: clients are sent away" : "activate: clients are taken again");
-    side_.read_until = evacuated ? clock_.now() + kReadOnMs : net::ClientSide::kAlways;
+    client_side_.read_until = evacuated ? clock_.now() + kEvacuationReadMs : net::ClientSide::kAlways;
   }
-  front_.ready = takes_clients();
-  kin_.set_ready(takes_clients());
-  if (addition_) addition_->set_taking(!evacuated);
+  http_front_.ready = accepts_clients();
+  hot_restart_.set_ready(accepts_clients());
+  if (extension_) extension_->set_taking(!evacuated);
   if (evacuated)
-    clients_.evacuate();
+    client_links_.evacuate();
   else
-    clients_.activate();
+    client_links_.activate();
   return "done\n";
 }
 
 void Node::finish() {
-  const double told = clock_.now();
-  const double last = told + std::min(longest_ms_, kMostDeadlineMs) + kFinishMs;
-  core::log_line("end: SIGTERM, " + std::to_string(clients_.open()) + " client links open");
+  const double term_ms = clock_.now();
+  const double end_ms = term_ms + std::min(longest_deadline_ms_, kMaxDeadlineMs) + kAnswerMarginMs;
+  core::log_line("end: SIGTERM, " + std::to_string(client_links_.open()) + " client links open");
   {
     const std::lock_guard lock(state_mutex_);
     ending_ = true;
-    // Whoever asks for health at the clients' address, over a link to us, asks for the other process too.
-    front_.ready = hands_over();
-    kin_.set_ready(false);
+    // A health check at the clients' address that reaches this process also stands for the other process.
+    http_front_.ready = hands_over();
+    hot_restart_.set_ready(false);
   }
-  if (tether_) tether_->stop_passing();
-  const auto pause_until = [this](double until, bool while_open) {
-    const auto is_busy = [this] { return clients_.open() > 0 || (addition_ && addition_->busy() > 0); };
-    while (clock_.now() < until && (!while_open || is_busy())) ::poll(nullptr, 0, 10);
+  if (control_socket_) control_socket_->stop_passing();
+  const auto pause_until = [this](double until, bool while_busy) {
+    const auto is_busy = [this] {
+      return client_links_.open() > 0 || (extension_ && extension_->busy() > 0);
+    };
+    while (clock_.now() < until && (!while_busy || is_busy())) ::poll(nullptr, 0, 10);
   };
-  // Where all deadlines are shorter than that, what is read later is answered in time all the same.
-  const double read_until = last - std::min(longest_ms_, kLastQueriesMs);
-  side_.read_until = read_until;
-  if (front_.ready) {
+  // Where all deadlines are shorter than kLastQueriesMs, queries read later are still answered in time.
+  const double read_until = end_ms - std::min(longest_deadline_ms_, kLastQueriesMs);
+  client_side_.read_until = read_until;
+  if (http_front_.ready) {
     core::log_line("end: the next process takes the clients");
-    clients_.leave_to_other();
+    client_links_.leave_to_other();
   } else {
-    pause_until(std::max(told + kAcceptOnMs, read_until), false);
-    clients_.stop_accepting();
+    pause_until(std::max(term_ms + kKeepAcceptingMs, read_until), false);
+    client_links_.stop_accepting();
   }
   pause_until(clock_.now() + kLastAnswersMs, false);
-  pause_until(last, true);
-  if (addition_) addition_->close();  // what it has out stays on its disk as it is
+  pause_until(end_ms, true);
+  if (extension_) extension_->close();  // its open work stays recorded on disk
   inbox_.put(core::FinishAll{});
-  pause_until(last + kLastAnswersMs, true);
-  core::log_line("end: done, " + std::to_string(clients_.open()) + " client links open");
+  pause_until(end_ms + kLastAnswersMs, true);
+  core::log_line("end: done, " + std::to_string(client_links_.open()) + " client links open");
 }
 
 }  // namespace woadtide
--- a/src/node.hpp
+++ b/src/node.hpp
@@ -1,4 +1,4 @@
-// One whole dispatcher: the parts put together, from its config to its end.
+// One complete dispatcher process: builds all components from the config and owns them until shutdown.
 #pragma once
 
 #include <atomic>
@@ -22,129 +22,146 @@
 
 namespace woadtide {
 
-// How the descriptors and the memory that the platform allows are shared out.
+// How the descriptors and the memory that the platform allows are divided among links, buffers and the
+// endpoint list of one process.
 struct Budget {
-  // `processes`: of this dispatcher, which share it.
+  // `processes`: number of processes of this dispatcher that share the allowance (two during a hot restart).
   Budget(std::size_t descriptors, std::size_t memory_mb, std::size_t processes = 1);
+  // Maximum number of links open at a time.
   std::size_t client_links, server_links;
-  // Clients' queries hold theirs until they are over, workers' answers only while a part of one has come:
-  // apart, so that what clients send cannot keep an answer from being read.
+  // Number of buffers in each pool. A client's query holds its buffers until it is over, a worker's answer
+  // only while it is partly received. The pools are separate so that traffic from clients cannot keep an
+  // answer from being read.
   std::size_t client_buffers, worker_buffers;
-  endpoints::EndpointLimits list;
+  endpoints::EndpointLimits list;  // bounds of the endpoint list
 };
 
-// Throws std::invalid_argument where an address in it cannot be one.
-void check_addresses(const core::Config& config);
+// Throws std::invalid_argument if an address in `config` is not valid.
+void validate_addresses(const core::Config& config);
 
-// What an operator's file can add to a node: it stands between the loop and the links to workers. The node
-// gives it `Parts`, which outlive it.
+// What a node hands to its extension. The components outlive the extension.
 struct Parts {
-  const woadtide::Settings& settings;           // until the adder returns
-  const std::vector<std::string>& class_names;  // the same
+  const woadtide::Settings& settings;           // valid only until the factory returns
+  const std::vector<std::string>& class_names;  // valid only until the factory returns
   core::Clock& clock;
   core::Inbox& inbox;
   core::Executor& links;
   const net::HostGroup& hosts;
   park::Park& park;
 };
+// An optional component, enabled by the operator's file, that sits between the decision loop and the server
+// links (durable jobs, for example).
 class Addition {
  public:
   virtual ~Addition() = default;
+  // Receives the executions that the decision loop starts, instead of the server links.
   virtual core::Executor& executor() = 0;
+  // Observer for the decision loop; may be null.
   virtual core::Witness* witness() = 0;
-  virtual void open() = 0;                   // the loop runs
-  virtual void set_taking(bool taking) = 0;  // clients are sent away, or taken again
-  virtual std::size_t busy() = 0;            // executions that a planned end should wait for
-  virtual void close() = 0;  // takes no more, and lets go of what another process may need. Again: nothing
+  // Called once the decision loop is running.
+  virtual void open() = 0;
+  // False while clients are sent away (evacuation), true once they are accepted again.
+  virtual void set_taking(bool taking) = 0;
+  // Number of executions that a planned shutdown should wait for.
+  virtual std::size_t busy() = 0;
+  // Accepts no more work and releases what another process may need. Further calls have no effect.
+  virtual void close() = 0;
 };
-using Adder = std::function<std::unique_ptr<Addition>(const Parts&)>;
+// Creates the extension of a node.
+using ExtensionFactory = std::function<std::unique_ptr<Addition>(const Parts&)>;
 
+// A running dispatcher.
 class Node {
  public:
-  // Listens and serves from here on. Throws std::system_error where it cannot.
-  // `start`: how threads of the crew are started, for tests.
-  Node(core::Config config, core::Clock& clock, const Adder& adder = {}, park::Crew::Start start = {});
+  // Listens and serves as soon as it is constructed. Throws std::system_error if it cannot.
+  // `start`: replaces how the thread pool starts threads, for tests.
+  Node(core::Config config, core::Clock& clock, const ExtensionFactory& extension_factory = {},
+       park::Crew::Start start = {});
   ~Node();
 
+  // Port of the clients' listener.
   int port() const { return port_; }
+  // Port of the management listener, 0 if there is none.
   int management_port() const { return management_port_; }
-  // A new config, on SIGHUP. Only discovery's address is taken over: all else was built upon at the start.
-  // Throws std::invalid_argument, with nothing changed, where it cannot be an address.
+  // Applies a new config, on SIGHUP. Only the address of service discovery is taken over: everything else was
+  // fixed at construction. Throws std::invalid_argument, with nothing changed, if the address is not valid.
   void reload(const core::Config& config);
-  // Whether another process of this dispatcher takes the clients when this one ends.
-  bool hands_over() { return kin_.other_ready(); }
-  // The planned end, from SIGTERM on: answers all that was taken, then returns.
+  // Whether another process of this dispatcher will take over the clients when this one ends.
+  bool hands_over() { return hot_restart_.other_ready(); }
+  // Planned shutdown after SIGTERM: answers every accepted query, then returns.
   void finish();
 
  private:
-  std::string answer_call(std::string_view call, std::string_view argument);
-  std::string ask_loop(core::OperatorCall::Kind kind, std::string_view worker);
+  std::string handle_management_call(std::string_view call, std::string_view argument);
+  std::string request_from_decision_loop(core::OperatorCall::Kind kind, std::string_view worker);
   std::string set_evacuated(bool evacuated);
-  void admit(const char* why);
-  bool takes_clients() const { return admitted_ && !ending_ && !evacuated_; }
-  void share_out(std::size_t processes);
+  void begin_accepting_clients(const char* reason);
+  bool accepts_clients() const { return accepting_ && !ending_ && !evacuated_; }
+  void apply_budget(std::size_t processes);
 
   core::Clock& clock_;
-  const double longest_ms_;    // longest deadline of a class
-  const std::string version_;  // what it says of itself
-  const std::size_t sockets_, memory_mb_;
-  const Budget budget_;   // of a process that is alone
-  net::Socket listener_;  // opened first: what goes wrong there goes wrong before any thread runs
-  net::Socket passed_;    // the same once more, for the tether; empty where there is none
+  const double longest_deadline_ms_;  // longest deadline of any class
+  const std::string version_line_;
+  const std::size_t max_descriptors_, max_memory_mb_;
+  const Budget budget_;             // while this is the only process of the dispatcher
+  net::Socket listener_;            // opened first, so that a failure happens before any thread runs
+  net::Socket listener_duplicate_;  // duplicate of listener_ for the control socket; empty if there is none
   net::Socket management_listener_;
   const int port_, management_port_;
-  net::BufferPool client_pool_, worker_pool_;  // before whatever may hold a buffer
+  net::BufferPool client_pool_, worker_pool_;  // declared before everything that may hold a buffer
   core::Inbox inbox_;
-  park::Park park_;
-  park::Crew crew_;
-  // Says when clients are taken in: once a list has been told, for the remembered one may name workers that
-  // drain, or after kMostAdmissionMs without one.
+  park::Park event_loop_;
+  park::Crew thread_pool_;
+  // Decides when the first clients are accepted: once service discovery has sent an endpoint list, because
+  // the remembered one may name workers that drain by now, or after kMaxListWaitMs without a list.
   class Admission : park::Guest {
    public:
-    Admission(Node& node, park::Park& park) : node_(node), park_(park) {}
+    Admission(Node& node, park::Park& park) : node_(node), event_loop_(park) {}
     void start();
     void stop();
-    void on_list();  // may come before start()
+    void on_list();  // may be called before start()
 
    private:
-    void ready(park::Signs) override { node_.admit("a list was told"); }
-    void late() override { node_.admit("no list was told in time"); }
+    void ready(park::Signs) override { node_.begin_accepting_clients("a list was told"); }
+    void late() override { node_.begin_accepting_clients("no list was told in time"); }
     Node& node_;
-    park::Park& park_;
-    std::atomic<bool> list_told_{false};
-    std::atomic<park::Park::Token> place_{park::Park::kNone};
+    park::Park& event_loop_;
+    std::atomic<bool> list_received_{false};
+    std::atomic<park::Park::Token> token_{park::Park::kNone};
   } admission_;
-  net::HostGroup hosts_;
-  net::ServerLinks servers_;
-  net::Succession kin_;
-  std::unique_ptr<Addition> addition_;  // may be none
-  core::DecisionLoop loop_;
-  // The one thread that owns the module is the park's: what comes over a link is decided on where it is read.
-  struct Decider : park::Guest {
-    Decider(core::DecisionLoop& to_run, core::Inbox& from, park::Park& in, const core::Clock& on);
-    ~Decider() override;
+  net::HostGroup endpoint_client_;
+  net::ServerLinks server_links_;
+  net::Succession hot_restart_;
+  std::unique_ptr<Addition> extension_;  // may be null
+  core::DecisionLoop decision_loop_;
+  // Runs the decision loop on the event loop's thread, the only thread that may use the decision module, so
+  // that a message is decided on the thread that reads it.
+  struct DecisionLoopHandler : park::Guest {
+    DecisionLoopHandler(core::DecisionLoop& decision_loop, core::Inbox& message_inbox, park::Park& events,
+                        const core::Clock& time_source);
+    ~DecisionLoopHandler() override;
     void ready(park::Signs) override { late(); }
-    void late() override { park.wake_at(place, clock.now() + loop.step()); }
+    void late() override { event_loop.wake_at(token, clock.now() + loop.step()); }
     core::DecisionLoop& loop;
     core::Inbox& inbox;
-    park::Park& park;
+    park::Park& event_loop;
     const core::Clock& clock;
-    park::Park::Token place;
-  } decider_;
-  front::http::Front front_;
-  net::ClientSide side_;
-  net::ClientLinks clients_;
+    park::Park::Token token;
+  } decision_loop_handler_;
+  front::http::Front http_front_;
+  net::ClientSide client_side_;
+  net::ClientLinks client_links_;
   std::mutex state_mutex_;
   bool ending_ = false, evacuated_ = false;
-  bool admitted_ = false;  // see Admission
-  // Who calls back from threads of its own ends before all that it touches, also where the constructor
-  // throws.
-  struct Leaving {
+  bool accepting_ = false;  // see Admission
+  // Stops the components that call back from their own threads before the members they use are destroyed,
+  // also when the constructor throws.
+  struct Shutdown {
     Node& node;
-    ~Leaving();
-  } leaving_;
-  std::optional<net::Tether> tether_;          // may be none
-  std::optional<net::Management> management_;  // last: its threads use all the others
+    ~Shutdown();
+  } shutdown_;
+  std::optional<net::Tether> control_socket_;  // empty if there is none
+  std::optional<net::Management> management_;  // declared last: its threads use all other members
 };
 
 }  // namespace woadtide
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -40,116 +40,124 @@
 namespace {
 
 namespace options = boost::program_options;
-using Words = std::vector<std::string>;
+using StringList = std::vector<std::string>;
 
-constexpr int kBadUse = 2;
+constexpr int kExitUsageError = 2;
 
-std::string environment(const char* name) {
+std::string environment_value(const char* name) {
   const char* value = std::getenv(name);
   return value ? value : "";
 }
 
-int descriptor(const std::string& text) {
+int parse_descriptor(const std::string& text) {
   int value = -1;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size() || value < 0)
-    throw std::runtime_error("ROUTER_PASSED_SOCKET is no descriptor: '" + text + "'");
+    throw std::runtime_error("ROUTER_PASSED_SOCKET is not a file descriptor: '" + text + "'");
   return value;
 }
 
-// The two files that a dispatcher is told of, by option or by the environment.
-struct Files {
-  std::string config = environment("ROUTER_CONFIG"), operators = environment("WOADTIDE_OPERATOR");
-  void add_operator(options::options_description& to) {
-    to.add_options()("operator,o", options::value(&operators),
-                     "the operator's file, TOML; $WOADTIDE_OPERATOR");
+// Paths of the two files that a dispatcher reads, from options or the environment.
+struct FilePaths {
+  std::string config_path = environment_value("ROUTER_CONFIG"),
+              operator_path = environment_value("WOADTIDE_OPERATOR");
+  void add_operator_option(options::options_description& option_list) {
+    option_list.add_options()("operator,o", options::value(&operator_path),
+                              "the operator's file (TOML), by default $WOADTIDE_OPERATOR");
   }
-  void add(options::options_description& to) {
-    to.add_options()("config,c", options::value(&config), "the platform's file, JSON; $ROUTER_CONFIG");
-    add_operator(to);
+  void add_options_to(options::options_description& option_list) {
+    option_list.add_options()("config,c", options::value(&config_path),
+                              "the platform's config file (JSON), by default $ROUTER_CONFIG");
+    add_operator_option(option_list);
   }
 };
 
-core::Config load(const Files& files) {
-  if (files.config.empty()) throw std::runtime_error("no config file: give --config or set ROUTER_CONFIG");
-  core::Config config = core::load_config(files.config);
-  if (config.management.empty()) config.management = environment("ROUTER_MANAGEMENT");
-  if (const std::string passed = environment("ROUTER_PASSED_SOCKET"); !passed.empty())
-    config.passed_socket = descriptor(passed);
-  config.folder = environment("TMPDIR");
-  config.tether = environment("WOADTIDE_TETHER");
+core::Config load_and_validate(const FilePaths& files) {
+  if (files.config_path.empty())
+    throw std::runtime_error("no config file: give --config or set ROUTER_CONFIG");
+  core::Config config = core::load_config(files.config_path);
+  if (config.management.empty()) config.management = environment_value("ROUTER_MANAGEMENT");
+  if (const std::string passed = environment_value("ROUTER_PASSED_SOCKET"); !passed.empty())
+    config.passed_socket = parse_descriptor(passed);
+  config.folder = environment_value("TMPDIR");
+  config.tether = environment_value("WOADTIDE_TETHER");
   config.version = WOADTIDE_VERSION;
-  check_addresses(config);
+  validate_addresses(config);
 #ifdef WOADTIDE_JOBS
-  if (!files.operators.empty()) {
-    std::ifstream file(files.operators, std::ios::binary);
+  if (!files.operator_path.empty()) {
+    std::ifstream file(files.operator_path, std::ios::binary);
     char id[17];
     std::snprintf(id, sizeof id, "%016llx",
                   static_cast<unsigned long long>(hash_of({std::istreambuf_iterator<char>(file), {}})));
     config.settings_id = id;
-    const config::OperatorFile read = config::load_operator_file(files.operators);
-    jobs::check_addresses(read.jobs);
-    for (const std::string& key : read.passed_over)
-      std::cerr << files.operators << ": " << key << ": of a newer program, passed over\n";
+    const config::OperatorFile operator_file = config::load_operator_file(files.operator_path);
+    jobs::check_addresses(operator_file.jobs);
+    for (const std::string& key : operator_file.passed_over)
+      std::cerr << files.operator_path << ": " << key << ": unknown key of a newer format, ignored\n";
   }
 #else
-  if (!files.operators.empty())
-    throw std::runtime_error("--operator: this build has no parts that an operator's file sets");
+  if (!files.operator_path.empty())
+    throw std::runtime_error("--operator: this build has no features that an operator's file configures");
 #endif
   return config;
 }
 
 #ifdef WOADTIDE_JOBS
-// Durable jobs take their descriptors and memory from what the node shares out.
-Adder jobs_adder(const config::JobsPart& part, core::Config& config) {
-  const std::size_t wanted = jobs::descriptors(part);
-  if (wanted * 2 > config.sockets)
-    throw std::runtime_error("jobs.links: " + std::to_string(part.links) + " would take " +
-                             std::to_string(wanted) + " of " + std::to_string(config.sockets) +
-                             " descriptors; half is the most");
-  config.sockets -= wanted;
+// Creates the factory of the durable job service and deducts its descriptors and memory from what the node
+// may use.
+ExtensionFactory jobs_extension(const config::JobsPart& part, core::Config& config) {
+  const std::size_t needed_descriptors = jobs::descriptors(part);
+  if (needed_descriptors * 2 > config.sockets)
+    throw std::runtime_error("jobs.links: " + std::to_string(part.links) + " needs " +
+                             std::to_string(needed_descriptors) + " of " + std::to_string(config.sockets) +
+                             " descriptors; at most half may be used");
+  config.sockets -= needed_descriptors;
   config.memory_mb -= std::min<std::size_t>(config.memory_mb / 3, 16);
   return [part](const Parts& parts) { return std::make_unique<jobs::Installation>(part, parts); };
 }
 
-// What of the operator's file can change in service does; the rest is named, and waits for a next process.
-void reload_operators(const std::string& path, config::OperatorFile& served, log::Structured& log) {
-  const config::OperatorFile fresh = config::load_operator_file(path);
-  std::string waits;
-  for (const cli::Changed& change : cli::differences(served, fresh)) {
-    const bool now = cli::changes_live(change.key);
-    if (!now) waits += (waits.empty() ? "" : ", ") + change.key;
-    if (now) core::log_line("reload: " + change.key + " from " + change.from + " to " + change.to);
+// Applies the settings of the operator's file that can change at run time, and logs those that only take
+// effect in the next process.
+void reload_operator_file(const std::string& path, config::OperatorFile& active, log::Structured& log) {
+  const config::OperatorFile updated = config::load_operator_file(path);
+  std::string deferred;
+  for (const cli::Changed& change : cli::differences(active, updated)) {
+    const bool takes_effect_now = cli::changes_live(change.key);
+    if (!takes_effect_now) deferred += (deferred.empty() ? "" : ", ") + change.key;
+    if (takes_effect_now)
+      core::log_line("reload: " + change.key + " from " + change.from + " to " + change.to);
   }
-  log.set_json(fresh.log.json);
-  served.log.json = fresh.log.json;
-  if (!waits.empty()) core::log_line("reload: waits for the next process: " + waits);
+  log.set_json(updated.log.json);
+  active.log.json = updated.log.json;
+  if (!deferred.empty()) core::log_line("reload: takes effect in the next process: " + deferred);
 }
 #endif
 
-// A file that cannot be used changes nothing: the old config stays.
+// Reloads the platform's config file. An invalid file changes nothing: the old config stays in effect.
 void reload(Node& node, const std::string& path) {
   try {
     const auto config = core::load_config(path);
-    check_addresses(config);
+    validate_addresses(config);
     node.reload(config);
-  } catch (const std::exception& wrong) {
-    core::log_line(std::string("reload: refused: ") + wrong.what());
+  } catch (const std::exception& error) {
+    core::log_line(std::string("reload: refused: ") + error.what());
   }
 }
 
-int serve(const Words& given, const Adder& other) {
-  Files files;
+int serve(const StringList& raw_arguments, const ExtensionFactory& default_extension) {
+  FilePaths files;
   cli::Arguments arguments;
-  files.add(arguments.options);
-  if (!arguments.read(given, "serve [options]", "Runs the dispatcher, until SIGTERM.", 0)) return 0;
-  core::Config config = load(files);
-  // Few arenas: with a thread for each link, one each would eat the memory limit.
+  files.add_options_to(arguments.options);
+  if (!arguments.read(raw_arguments, "serve [options]", "Runs the dispatcher until SIGTERM.", 0)) return 0;
+  core::Config config = load_and_validate(files);
+  // Limits malloc to two arenas: with a thread for each link, an arena per thread would use up the memory
+  // limit.
   mallopt(M_ARENA_MAX, 2);
-  // Before the first thread, so that all inherit it: the main thread alone waits for signals.
+  // Set before the first thread starts, so that all threads inherit the mask and only the main thread
+  // receives signals.
   sigset_t signals;
   sigemptyset(&signals);
-  for (const int one : {SIGHUP, SIGTERM, SIGINT}) sigaddset(&signals, one);
+  for (const int signo : {SIGHUP, SIGTERM, SIGINT}) sigaddset(&signals, signo);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
 
@@ -157,24 +165,24 @@
   if (getrlimit(RLIMIT_NOFILE, &descriptors) == 0)
     config.sockets = std::min<std::size_t>(config.sockets, descriptors.rlim_cur);
   core::Clock clock;
-  Adder adder = other;
+  ExtensionFactory extension_factory = default_extension;
 #ifdef WOADTIDE_JOBS
   std::optional<log::Structured> log;
-  config::OperatorFile served;
-  if (!files.operators.empty()) {
-    served = config::load_operator_file(files.operators);
-    log.emplace(served.log.json, static_cast<std::size_t>(served.log.queue));
-    if (served.jobs.enabled) adder = jobs_adder(served.jobs, config);
+  config::OperatorFile active;
+  if (!files.operator_path.empty()) {
+    active = config::load_operator_file(files.operator_path);
+    log.emplace(active.log.json, static_cast<std::size_t>(active.log.queue));
+    if (active.jobs.enabled) extension_factory = jobs_extension(active.jobs, config);
   }
 #endif
-  Node node(std::move(config), clock, adder);
-  for (int caught = 0; sigwait(&signals, &caught) == 0 && caught == SIGHUP;) {
-    reload(node, files.config);
+  Node node(std::move(config), clock, extension_factory);
+  for (int signo = 0; sigwait(&signals, &signo) == 0 && signo == SIGHUP;) {
+    reload(node, files.config_path);
 #ifdef WOADTIDE_JOBS
     try {
-      if (log) reload_operators(files.operators, served, *log);
-    } catch (const std::exception& wrong) {
-      core::log_line(std::string("reload: refused: ") + wrong.what());
+      if (log) reload_operator_file(files.operator_path, active, *log);
+    } catch (const std::exception& error) {
+      core::log_line(std::string("reload: refused: ") + error.what());
     }
 #endif
   }
@@ -182,116 +190,121 @@
   return 0;
 }
 
-int check_config(const Words& given) {
-  Files files;
+int check_config(const StringList& raw_arguments) {
+  FilePaths files;
   cli::Arguments arguments;
-  files.add(arguments.options);
-  if (!arguments.read(given, "check-config [options]", "Says whether the files are good to serve under.", 0))
+  files.add_options_to(arguments.options);
+  if (!arguments.read(raw_arguments, "check-config [options]",
+                      "Checks whether the files are valid for serve.", 0))
     return 0;
-  const core::Config config = load(files);
+  const core::Config config = load_and_validate(files);
   const endpoints::EndpointLimits list = Budget(config.sockets, config.memory_mb).list;
-  std::cout << files.config << ": good\n";
-  std::cout << files.config << ": memory for an endpoint list of up to " << list.max_endpoints << " workers, "
-            << list.max_update_bytes / 1'000 << " KB of text\n";
-  if (!files.operators.empty()) std::cout << files.operators << ": good\n";
+  std::cout << files.config_path << ": good\n";
+  std::cout << files.config_path << ": memory for an endpoint list of up to " << list.max_endpoints
+            << " workers, " << list.max_update_bytes / 1'000 << " KB of text\n";
+  if (!files.operator_path.empty()) std::cout << files.operator_path << ": good\n";
   return 0;
 }
 
-int version(const Words& given) {
+int version(const StringList& raw_arguments) {
   cli::Arguments arguments;
   bool as_json = false;
-  arguments.options.add_options()("json", options::bool_switch(&as_json), "with the formats that it reads");
-  if (!arguments.read(given, "version [--json]", "Prints the version.", 0)) return 0;
+  arguments.options.add_options()("json", options::bool_switch(&as_json),
+                                  "as JSON, with the supported formats");
+  if (!arguments.read(raw_arguments, "version [--json]", "Prints the version.", 0)) return 0;
   if (!as_json) {
     std::cout << "woadtide " WOADTIDE_VERSION "\n";
     return 0;
   }
-  nlohmann::json said = {{"version", WOADTIDE_VERSION}, {"kin", core::kKinVersion}};
+  nlohmann::json document = {{"version", WOADTIDE_VERSION}, {"kin", core::kKinVersion}};
 #ifdef WOADTIDE_JOBS
-  said["operator_file"] = config::kFileFormat;
+  document["operator_file"] = config::kFileFormat;
 #endif
-  std::cout << said.dump() << '\n';
+  std::cout << document.dump() << '\n';
   return 0;
 }
 
 #ifdef WOADTIDE_JOBS
-int jobs_or_store(const std::string& command, const Words& given) {
-  Files files;
+int jobs_or_store(const std::string& command, const StringList& raw_arguments) {
+  FilePaths files;
   cli::Arguments arguments;
   cli::Words job;
-  files.add_operator(arguments.options);
-  std::string usage, what;
+  files.add_operator_option(arguments.options);
+  std::string usage, description;
   if (command == "jobs") {
     usage = "jobs list | show KEY | settle KEY [options]";
-    what = "Durable jobs of the running process.";
+    description = "Durable jobs of the running process.";
     arguments.options.add_options()("state", options::value(&job.state), "list: only those in this state")(
         "as", options::value(&job.as), "settle: finished or failed")(
-        "who", options::value(&job.who), "settle: who says so")("why", options::value(&job.why),
-                                                                "settle: and why");
+        "who", options::value(&job.who), "settle: who decided it")("why", options::value(&job.why),
+                                                                   "settle: the reason");
   } else {
     usage = "store check | compact [options]";
-    what = "The store of a dispatcher that does not run.";
+    description = "The job store of a stopped dispatcher.";
     arguments.options.add_options()("keep-hours", options::value(&job.keep_hours),
-                                    "compact: drop what ended earlier than this");
+                                    "compact: delete jobs that ended longer ago than this");
   }
-  if (!arguments.read(given, usage, what, 2)) return 0;
-  if (files.operators.empty())
+  if (!arguments.read(raw_arguments, usage, description, 2)) return 0;
+  if (files.operator_path.empty())
     throw std::runtime_error("no operator's file: give --operator or set WOADTIDE_OPERATOR");
-  const auto file = config::load_operator_file(files.operators);
+  const auto file = config::load_operator_file(files.operator_path);
   job.places = arguments.words;
   return command == "jobs" ? cli::jobs_command(job, file.jobs) : cli::store_command(job, file.jobs);
 }
 #endif
 
-void print_commands() {
+void print_usage() {
   std::cout << "Usage: woadtide COMMAND [options]; COMMAND --help has each one's options\n\n"
                "  serve         run the dispatcher (the default)\n"
-               "  check-config  say whether the files are good\n"
+               "  check-config  check whether the files are valid\n"
                "  version       print the version\n"
 #ifdef WOADTIDE_JOBS
                "  jobs          durable jobs of the running process: list, show, settle\n"
-               "  store         their store, of one that does not run: check, compact\n"
+               "  store         the job store of a stopped dispatcher: check, compact\n"
                "  settings      the operator's file: show, diff, check\n"
-               "  supervise     run the parent of one dispatcher, which changes its version in service\n"
-               "  rollout       change the whole fleet in stages: plan, start, status, pause, resume, abort, "
+               "  supervise     supervise one dispatcher and upgrade it without interruption\n"
+               "  rollout       roll out changes to the fleet in stages: plan, start, status, pause, "
+               "resume, abort, "
                "history\n"
 #endif
       ;
 }
 
-int run(const Words& given, const Adder& other) {
-  const bool named = !given.empty() && !given.front().starts_with("-");
-  if (!given.empty() && (given.front() == "--help" || given.front() == "-h")) return print_commands(), 0;
-  const std::string command = named ? given.front() : "serve";
-  const Words rest(given.begin() + (named ? 1 : 0), given.end());
-  if (command == "serve") return serve(rest, other);
-  if (command == "check-config") return check_config(rest);
-  if (command == "version") return version(rest);
+int run(const StringList& raw_arguments, const ExtensionFactory& default_extension) {
+  const bool has_command = !raw_arguments.empty() && !raw_arguments.front().starts_with("-");
+  if (!raw_arguments.empty() && (raw_arguments.front() == "--help" || raw_arguments.front() == "-h"))
+    return print_usage(), 0;
+  const std::string command = has_command ? raw_arguments.front() : "serve";
+  const StringList command_arguments(raw_arguments.begin() + (has_command ? 1 : 0), raw_arguments.end());
+  if (command == "serve") return serve(command_arguments, default_extension);
+  if (command == "check-config") return check_config(command_arguments);
+  if (command == "version") return version(command_arguments);
 #ifdef WOADTIDE_JOBS
-  if (command == "jobs" || command == "store") return jobs_or_store(command, rest);
-  if (command == "settings") return cli::settings_command(rest);
-  if (command == "supervise") return cli::supervise_command(rest);
-  if (command == "rollout") return cli::rollout_command(rest);
+  if (command == "jobs" || command == "store") return jobs_or_store(command, command_arguments);
+  if (command == "settings") return cli::settings_command(command_arguments);
+  if (command == "supervise") return cli::supervise_command(command_arguments);
+  if (command == "rollout") return cli::rollout_command(command_arguments);
 #endif
   throw std::runtime_error("unknown command '" + command + "'");
 }
 
 }  // namespace
 
-int run_program(int argc, char** argv, const Adder& other) {
-  // Before anything else: until it is waited for, a SIGHUP would end the program.
-  sigset_t hang_up;
-  sigemptyset(&hang_up);
-  sigaddset(&hang_up, SIGHUP);
-  pthread_sigmask(SIG_BLOCK, &hang_up, nullptr);
+int run_program(int argc, char** argv, const ExtensionFactory& default_extension) {
+  // Blocked first of all: a SIGHUP that arrives before the program waits for it would otherwise end the
+  // process.
+  sigset_t hangup_signal;
+  sigemptyset(&hangup_signal);
+  sigaddset(&hangup_signal, SIGHUP);
+  pthread_sigmask(SIG_BLOCK, &hangup_signal, nullptr);
   try {
-    return run(Words(argv + 1, argv + argc), other);
-  } catch (const std::system_error& failed) {  // the machine's word, at the start
-    std::cerr << "woadtide: " << failed.what() << std::endl;
+    return run(StringList(argv + 1, argv + argc), default_extension);
+  } catch (const std::system_error& error) {  // from the operating system, at startup
+    std::cerr << "woadtide: " << error.what() << std::endl;
     return 1;
-  } catch (const std::exception& wrong) {
-    std::cerr << "woadtide: " << wrong.what() << std::endl;
-    return kBadUse;
+  } catch (const std::exception& error) {
+    std::cerr << "woadtide: " << error.what() << std::endl;
+    return kExitUsageError;
   }
 }
 
--- a/src/program.hpp
+++ b/src/program.hpp
@@ -1,11 +1,12 @@
-// The command line of woadtide, for the program itself and for copies of it that tests build with faults.
+// Command line of woadtide, shared by the program itself and by the fault-injecting builds that tests use.
 #pragma once
 
 #include "node.hpp"
 
 namespace woadtide {
 
-// `other`: stands between the loop and the links of `serve` where the operator's file puts nothing there.
-int run_program(int argc, char** argv, const Adder& other = {});
+// Parses the arguments and runs the command; returns the process's exit status. `default_extension`:
+// extension of the node that `serve` runs, used if the operator's file enables none.
+int run_program(int argc, char** argv, const ExtensionFactory& default_extension = {});
 
 }  // namespace woadtide
