--- a/src/lease/lease.cpp
+++ b/src/lease/lease.cpp
@@ -6,27 +6,27 @@
 namespace woadtide::lease {
 
 namespace {
-constexpr std::array<const char*, 7> kNames = {"taken",  "leased",   "running", "finished",
-                                               "failed", "in-doubt", "refused"};
+constexpr std::array<const char*, 7> kStateNames = {"taken",  "leased",   "running", "finished",
+                                                    "failed", "in-doubt", "refused"};
 }
 
-const char* name_of(State state) { return kNames.at(static_cast<std::size_t>(state)); }
+const char* name_of(State state) { return kStateNames.at(static_cast<std::size_t>(state)); }
 
 std::optional<State> state_of(const std::string& name) {
-  const auto found = std::find(kNames.begin(), kNames.end(), name);
-  if (found == kNames.end()) return std::nullopt;
-  return static_cast<State>(found - kNames.begin());
+  const auto found = std::find(kStateNames.begin(), kStateNames.end(), name);
+  if (found == kStateNames.end()) return std::nullopt;
+  return static_cast<State>(found - kStateNames.begin());
 }
 
 void Table::handle(double now, const Event& event, std::vector<Effect>& effects) {
-  out_ = &effects;
-  std::visit([&](const auto& one) { on(now, one); }, event);
-  out_ = nullptr;
+  effects_ = &effects;
+  std::visit([&](const auto& alternative) { handle_event(now, alternative); }, event);
+  effects_ = nullptr;
 }
 
 std::optional<double> Table::next_due() const {
-  if (due_.empty()) return std::nullopt;
-  return due_.begin()->first;
+  if (due_jobs_.empty()) return std::nullopt;
+  return due_jobs_.begin()->first;
 }
 
 const Job* Table::find(const std::string& key) const {
@@ -37,77 +37,77 @@
 void Table::forget(const std::string& key) {
   const auto found = jobs_.find(key);
   if (found == jobs_.end()) return;
-  due_.erase({found->second.due, key});
+  due_jobs_.erase({found->second.due_ms, key});
   jobs_.erase(found);
 }
 
-Table::Open* Table::leased(const std::string& key, std::uint64_t epoch) {
+Table::OpenJob* Table::find_leased(const std::string& key, std::uint64_t epoch) {
   const auto found = jobs_.find(key);
   if (found == jobs_.end()) return nullptr;
-  Open& open = found->second;
-  const bool out = open.job.state == State::leased || open.job.state == State::running;
-  return out && open.job.epoch == epoch ? &open : nullptr;
+  OpenJob& open = found->second;
+  const bool has_lease = open.job.state == State::leased || open.job.state == State::running;
+  return has_lease && open.job.epoch == epoch ? &open : nullptr;
 }
 
-Table::Open& Table::add(Job job, double give_up) {
-  Open& open = jobs_[job.key];
+Table::OpenJob& Table::add(Job job, double final_by_ms) {
+  OpenJob& open = jobs_[job.key];
   open.job = std::move(job);
-  open.give_up = open.due = give_up;
-  due_.insert({open.due, open.job.key});
+  open.final_by_ms = open.due_ms = final_by_ms;
+  due_jobs_.insert({open.due_ms, open.job.key});
   return open;
 }
 
-// When the job has to be looked at without an event.
-void Table::schedule(Open& open) {
-  double due = open.give_up;
-  if (open.asking)
-    due = std::min(due, open.ask_at);
+// Updates the time at which the job must be examined even if no event arrives.
+void Table::update_due(OpenJob& open) {
+  double due_ms = open.final_by_ms;
+  if (open.awaiting_worker)
+    due_ms = std::min(due_ms, open.next_ask_ms);
   else if (open.job.state == State::leased || open.job.state == State::running)
-    due = std::min(due, open.until);
-  if (due == open.due) return;
-  due_.erase({open.due, open.job.key});
-  open.due = due;
-  due_.insert({open.due, open.job.key});
+    due_ms = std::min(due_ms, open.lease_until_ms);
+  if (due_ms == open.due_ms) return;
+  due_jobs_.erase({open.due_ms, open.job.key});
+  open.due_ms = due_ms;
+  due_jobs_.insert({open.due_ms, open.job.key});
 }
 
-void Table::set(double now, Open& open, State state) {
+void Table::set_state(double now, OpenJob& open, State state) {
   open.job.state = state;
   open.job.changed = now;
-  schedule(open);
+  update_due(open);
 }
 
-void Table::finish(double now, Open& open, State state, std::string why) {
-  open.asking = false;
+void Table::finalize(double now, OpenJob& open, State state, std::string why) {
+  open.awaiting_worker = false;
   open.job.why = std::move(why);
-  set(now, open, state);
-  due_.erase({open.due, open.job.key});  // nothing is left to look at
-  // What the store never heard of and never ran needs no record: the refusal is all there is.
-  if (open.written || state != State::refused) out_->push_back(Write{open.job.key, false});
-  out_->push_back(Tell{open.job.key});
+  set_state(now, open, state);
+  due_jobs_.erase({open.due_ms, open.job.key});  // a final job has nothing left to examine
+  // A job that is not in the store and never ran needs no record of its refusal.
+  if (open.is_recorded || state != State::refused) effects_->push_back(Write{open.job.key, false});
+  effects_->push_back(Tell{open.job.key});
 }
 
-// The lease is over and the job may go out again.
-void Table::release(double now, Open& open) {
-  open.asking = false;
-  set(now, open, State::taken);
+// Ends the lease; the job may be dispatched again.
+void Table::release_lease(double now, OpenJob& open) {
+  open.awaiting_worker = false;
+  set_state(now, open, State::taken);
 }
 
-// Whether an at-most-once job ran is not known here. Its worker is asked, under a higher epoch: whatever
-// still comes from the old one changes nothing, here or there.
-void Table::doubt(double now, Open& open, const std::string& why) {
+// It is unknown whether an at-most-once job ran. Its worker is asked under a higher epoch, so that messages
+// of the old epoch that still arrive change nothing, neither here nor at the worker.
+void Table::resolve_doubt(double now, OpenJob& open, const std::string& why) {
   Job& job = open.job;
-  if (!job.answers || now >= open.give_up) return finish(now, open, State::in_doubt, why);
+  if (!job.answers || now >= open.final_by_ms) return finalize(now, open, State::in_doubt, why);
   job.epoch += 1;
   job.why = why;
-  open.asking = true;
-  open.ask_at = now + settings_.ask_every_ms;
-  schedule(open);
-  out_->push_back(Retract{job.key});
-  out_->push_back(Write{job.key, false});
-  out_->push_back(Ask{job.key, job.worker, job.epoch});
+  open.awaiting_worker = true;
+  open.next_ask_ms = now + settings_.ask_every_ms;
+  update_due(open);
+  effects_->push_back(Retract{job.key});
+  effects_->push_back(Write{job.key, false});
+  effects_->push_back(Ask{job.key, job.worker, job.epoch});
 }
 
-void Table::on(double, const Take& event) {
+void Table::handle_event(double, const Take& event) {
   if (jobs_.contains(event.key)) return;
   Job job;
   job.key = event.key;
@@ -115,156 +115,159 @@
   job.deadline = event.deadline;
   job.epoch = event.epoch;
   add(std::move(job), event.deadline);
-  out_->push_back(Dispatch{event.key});
+  effects_->push_back(Dispatch{event.key});
 }
 
-void Table::on(double now, const Recovered& event) {
+void Table::handle_event(double now, const Recovered& event) {
   if (jobs_.contains(event.job.key) || is_final(event.job.state)) return;
-  Open& open = add(event.job, std::max(event.job.deadline, now + settings_.late_ask_ms));
-  open.written = true;
+  OpenJob& open = add(event.job, std::max(event.job.deadline, now + settings_.late_ask_ms));
+  open.is_recorded = true;
   Job& job = open.job;
-  const bool was_out = job.state != State::taken;
-  if (was_out && job.repeat == Repeat::once) return doubt(now, open, "the dispatcher ended while it was out");
-  if (now >= job.deadline) return finish(now, open, State::refused, "its time ran out");
-  open.give_up = job.deadline;
-  release(now, open);
-  out_->push_back(Dispatch{job.key});
+  const bool was_leased = job.state != State::taken;
+  if (was_leased && job.repeat == Repeat::once)
+    return resolve_doubt(now, open, "the dispatcher ended while it was out");
+  if (now >= job.deadline) return finalize(now, open, State::refused, "its time ran out");
+  open.final_by_ms = job.deadline;
+  release_lease(now, open);
+  effects_->push_back(Dispatch{job.key});
 }
 
-void Table::on(double now, const Resumed& event) {
+void Table::handle_event(double now, const Resumed& event) {
   if (event.job.state != State::leased && event.job.state != State::running)
-    return on(now, Recovered{event.job});
+    return handle_event(now, Recovered{event.job});
   if (jobs_.contains(event.job.key)) return;
-  Open& open = add(event.job, event.job.deadline);
-  open.written = true;
-  open.until = now + settings_.lease_ms;
-  schedule(open);
+  OpenJob& open = add(event.job, event.job.deadline);
+  open.is_recorded = true;
+  open.lease_until_ms = now + settings_.lease_ms;
+  update_due(open);
 }
 
-void Table::on(double now, const Chosen& event) {
+void Table::handle_event(double now, const Chosen& event) {
   const auto found = jobs_.find(event.key);
-  if (found == jobs_.end()) return out_->push_back(Unsend{event.key});
-  Open& open = found->second;
+  if (found == jobs_.end()) return effects_->push_back(Unsend{event.key});
+  OpenJob& open = found->second;
   Job& job = open.job;
-  const bool out = job.state == State::leased || job.state == State::running;
-  // A second lease beside one that may be running: for a safe job it ends the first, for a payout never.
-  const bool allowed = job.state == State::taken || (out && job.repeat == Repeat::safe);
-  if (!allowed || open.asking || now >= job.deadline) return out_->push_back(Unsend{event.key});
+  const bool has_lease = job.state == State::leased || job.state == State::running;
+  // A second lease beside one that may be running: for an idempotent job it ends the first lease; for an
+  // at-most-once job it is never granted.
+  const bool allowed = job.state == State::taken || (has_lease && job.repeat == Repeat::safe);
+  if (!allowed || open.awaiting_worker || now >= job.deadline) return effects_->push_back(Unsend{event.key});
   job.epoch += 1;
   job.worker = event.worker;
   job.ledger = event.ledger;
   job.answers = event.answers;
-  open.until = now + settings_.lease_ms;
-  open.written = true;
-  set(now, open, State::leased);
-  out_->push_back(Write{job.key, false});
-  out_->push_back(Start{job.key, job.epoch});
+  open.lease_until_ms = now + settings_.lease_ms;
+  open.is_recorded = true;
+  set_state(now, open, State::leased);
+  effects_->push_back(Write{job.key, false});
+  effects_->push_back(Start{job.key, job.epoch});
 }
 
-void Table::on(double now, const Heard& event) {
-  Open* open = leased(event.key, event.epoch);
-  if (!open || open->asking) return;
-  open->until = now + settings_.lease_ms;
-  if (open->job.state == State::running) return schedule(*open);
-  set(now, *open, State::running);
-  out_->push_back(Write{event.key, true});
+void Table::handle_event(double now, const Heard& event) {
+  OpenJob* open = find_leased(event.key, event.epoch);
+  if (!open || open->awaiting_worker) return;
+  open->lease_until_ms = now + settings_.lease_ms;
+  if (open->job.state == State::running) return update_due(*open);
+  set_state(now, *open, State::running);
+  effects_->push_back(Write{event.key, true});
 }
 
-void Table::on(double now, const Ended& event) {
-  Open* open = leased(event.key, event.epoch);
-  if (!open || open->asking) return;
+void Table::handle_event(double now, const Ended& event) {
+  OpenJob* open = find_leased(event.key, event.epoch);
+  if (!open || open->awaiting_worker) return;
   switch (event.end) {
     case End::done:
-      return finish(now, *open, State::finished, {});
+      return finalize(now, *open, State::finished, {});
     case End::not_run:
-      out_->push_back(Write{event.key, true});
-      return release(now, *open);
+      effects_->push_back(Write{event.key, true});
+      return release_lease(now, *open);
     case End::failed:
-      if (open->job.repeat == Repeat::once) return finish(now, *open, State::failed, "its worker said so");
-      return release(now, *open);
+      if (open->job.repeat == Repeat::once) return finalize(now, *open, State::failed, "its worker said so");
+      return release_lease(now, *open);
     case End::unknown:
-      if (open->job.repeat == Repeat::once) return doubt(now, *open, "its worker was lost");
-      return release(now, *open);
+      if (open->job.repeat == Repeat::once) return resolve_doubt(now, *open, "its worker was lost");
+      return release_lease(now, *open);
   }
 }
 
-void Table::on(double now, const GivenUp& event) {
+void Table::handle_event(double now, const GivenUp& event) {
   const auto found = jobs_.find(event.key);
   if (found == jobs_.end() || is_final(found->second.job.state)) return;
-  Open& open = found->second;
+  OpenJob& open = found->second;
   if (open.job.state == State::taken) {
-    // A payout that is taken never ran. A safe job may have, and then the module's word is that it failed.
+    // An at-most-once job in state `taken` never ran. An idempotent one may have, in which case the decision
+    // module reports that it failed.
     if (event.refused || open.job.repeat == Repeat::once)
-      return finish(now, open, State::refused, "no worker had room for it");
-    return finish(now, open, State::failed, "no worker could finish it");
+      return finalize(now, open, State::refused, "no worker had room for it");
+    return finalize(now, open, State::failed, "no worker could finish it");
   }
-  if (open.asking) return;
-  if (open.job.repeat == Repeat::once) return doubt(now, open, "its time ran out");
-  finish(now, open, State::failed, "its time ran out");
+  if (open.awaiting_worker) return;
+  if (open.job.repeat == Repeat::once) return resolve_doubt(now, open, "its time ran out");
+  finalize(now, open, State::failed, "its time ran out");
 }
 
-void Table::on(double now, const Answered& event) {
-  Open* open = leased(event.key, event.epoch);
-  if (!open || !open->asking) return;
+void Table::handle_event(double now, const Answered& event) {
+  OpenJob* open = find_leased(event.key, event.epoch);
+  if (!open || !open->awaiting_worker) return;
   Job& job = open->job;
   switch (event.says) {
     case Says::finished:
-      return finish(now, *open, State::finished, "as its worker's ledger says");
+      return finalize(now, *open, State::finished, "as its worker's ledger says");
     case Says::failed:
-      return finish(now, *open, State::failed, "as its worker's ledger says");
+      return finalize(now, *open, State::failed, "as its worker's ledger says");
     case Says::running:
-      open->ask_at = now + settings_.ask_every_ms;
-      if (job.state != State::running) out_->push_back(Write{job.key, true});
-      return set(now, *open, State::running);
+      open->next_ask_ms = now + settings_.ask_every_ms;
+      if (job.state != State::running) effects_->push_back(Write{job.key, true});
+      return set_state(now, *open, State::running);
     case Says::unreachable:
-      open->ask_at = now + settings_.ask_every_ms;
-      return schedule(*open);
+      open->next_ask_ms = now + settings_.ask_every_ms;
+      return update_due(*open);
     case Says::unknown:
-      return finish(now, *open, State::in_doubt, "its worker cannot say");
+      return finalize(now, *open, State::in_doubt, "its worker cannot say");
     case Says::never:
-      // A ledger that is not the one we knew may have lost the job.
+      // A ledger other than the one known at the time of the lease may have lost the job.
       if (event.ledger.empty() || event.ledger != job.ledger)
-        return finish(now, *open, State::in_doubt, "its worker has another ledger than before");
-      if (now >= job.deadline) return finish(now, *open, State::refused, "its time ran out");
-      open->give_up = job.deadline;
-      out_->push_back(Write{job.key, true});
-      release(now, *open);
-      out_->push_back(Dispatch{job.key});
+        return finalize(now, *open, State::in_doubt, "its worker has another ledger than before");
+      if (now >= job.deadline) return finalize(now, *open, State::refused, "its time ran out");
+      open->final_by_ms = job.deadline;
+      effects_->push_back(Write{job.key, true});
+      release_lease(now, *open);
+      effects_->push_back(Dispatch{job.key});
   }
 }
 
-void Table::on(double now, const Withdraw& event) {
+void Table::handle_event(double now, const Withdraw& event) {
   const auto found = jobs_.find(event.key);
   if (found == jobs_.end() || found->second.job.state != State::taken) return;
-  out_->push_back(Retract{event.key});
-  finish(now, found->second, State::refused, "withdrawn by its client");
+  effects_->push_back(Retract{event.key});
+  finalize(now, found->second, State::refused, "withdrawn by its client");
 }
 
-void Table::on(double now, const Tick&) {
-  while (!due_.empty() && due_.begin()->first <= now) {
-    Open& open = jobs_.at(due_.begin()->second);
-    tick_one(now, open);
+void Table::handle_event(double now, const Tick&) {
+  while (!due_jobs_.empty() && due_jobs_.begin()->first <= now) {
+    OpenJob& open = jobs_.at(due_jobs_.begin()->second);
+    handle_due(now, open);
   }
 }
 
-void Table::tick_one(double now, Open& open) {
+void Table::handle_due(double now, OpenJob& open) {
   Job& job = open.job;
-  if (now >= open.give_up) {
-    out_->push_back(Retract{job.key});
-    if (job.state == State::taken) return finish(now, open, State::refused, "its time ran out");
-    return finish(now, open, job.repeat == Repeat::once ? State::in_doubt : State::failed,
-                  "its time ran out");
+  if (now >= open.final_by_ms) {
+    effects_->push_back(Retract{job.key});
+    if (job.state == State::taken) return finalize(now, open, State::refused, "its time ran out");
+    return finalize(now, open, job.repeat == Repeat::once ? State::in_doubt : State::failed,
+                    "its time ran out");
   }
-  if (open.asking) {
-    open.ask_at = now + settings_.ask_every_ms;
-    schedule(open);
-    return out_->push_back(Ask{job.key, job.worker, job.epoch});
+  if (open.awaiting_worker) {
+    open.next_ask_ms = now + settings_.ask_every_ms;
+    update_due(open);
+    return effects_->push_back(Ask{job.key, job.worker, job.epoch});
   }
-  // No heartbeat for a whole lease.
-  if (job.repeat == Repeat::once) return doubt(now, open, "its heartbeats stopped");
-  out_->push_back(Retract{job.key});
-  release(now, open);
-  out_->push_back(Dispatch{job.key});
+  // The lease expired without a heartbeat.
+  if (job.repeat == Repeat::once) return resolve_doubt(now, open, "its heartbeats stopped");
+  effects_->push_back(Retract{job.key});
+  release_lease(now, open);
+  effects_->push_back(Dispatch{job.key});
 }
 
 bool settle(Job& job, double now, bool as_finished, const std::string& who, const std::string& why) {
--- a/src/lease/lease.hpp
+++ b/src/lease/lease.hpp
@@ -1,9 +1,10 @@
-// The life of durable jobs: who holds the lease of each open one, what every event means for it, what
-// recovery does with it. Events and a time in, effects out. It must not know sockets, disk, threads or
-// clocks; the Keeper (src/jobs) carries out what it says. The invariants are in docs/design/durable-jobs.md.
+// Lease state machine of durable jobs: which worker holds the lease of each open job, how each event changes
+// the job, and how a job is recovered after a restart. It takes events and a time and returns effects. It
+// must not depend on sockets, disk, threads or clocks; the durable job service (src/jobs) carries out the
+// effects. The invariants are in docs/design/durable-jobs.md.
 //
-// Times are milliseconds on the owner's clock, which never goes back. An unknown key, or an epoch that is not
-// the job's newest, changes nothing: both are news of what is over.
+// Times are milliseconds on the owner's clock, which never goes backwards. An event with an unknown key, or
+// with an epoch that is not the job's newest, changes nothing: it concerns something that is already over.
 #pragma once
 
 #include <cstdint>
@@ -17,161 +18,189 @@
 
 namespace woadtide::lease {
 
+// State of a job. States from `finished` on are final.
 enum class State { taken, leased, running, finished, failed, in_doubt, refused };
+// Whether a job may run more than once (`safe`) or must run at most once (`once`).
 enum class Repeat { safe, once };
 
+// Whether no event changes a job in this state any more.
 inline bool is_final(State state) { return state >= State::finished; }
-const char* name_of(State state);  // "in-doubt"
+// Name of a state on the wire and in records, such as "in-doubt".
+const char* name_of(State state);
+// State with this name; nullopt if there is none.
 std::optional<State> state_of(const std::string& name);
 
+// A durable job, as it is stored.
 struct Job {
   std::string key;
   Repeat repeat = Repeat::once;
-  double deadline = 0;  // no lease is given from here on
+  double deadline = 0;  // no lease is granted from this time on
   State state = State::taken;
-  std::uint64_t epoch = 0;  // of the newest lease or question; only ever grows
-  std::string worker;       // that the newest lease is at
-  std::string ledger;       // id of the worker's ledger when it was given; empty: not known
-  bool answers = false;     // that worker can be asked about jobs
-  double changed = 0;       // when its state last changed
-  std::string why;          // of a final state, for people
+  std::uint64_t epoch = 0;  // of the newest lease or inquiry; only ever grows
+  std::string worker;       // holder of the newest lease
+  std::string ledger;       // id of the worker's ledger when the lease was granted; empty if unknown
+  bool answers = false;     // whether that worker can be asked about jobs
+  double changed = 0;       // time of the last change of state
+  std::string why;          // reason for a final state, for operators
 };
 
+// Timing of leases and inquiries.
 struct Settings {
-  double lease_ms = 10'000;    // a lease lasts this long from its last heartbeat
-  double ask_every_ms = 250;   // gap between two questions to a worker
-  double late_ask_ms = 5'000;  // after a start: how long a job whose time is over is still asked for
+  double lease_ms = 10'000;    // a lease expires this long after its last heartbeat
+  double ask_every_ms = 250;   // interval between inquiries to a worker
+  double late_ask_ms = 5'000;  // after a restart: how long the worker of an expired job is still asked
 };
 
 // Events -------------------------------------------------------------------------------------------------
 
-// A new job, or one that was refused before: then `epoch` is the one it had.
+// A client submitted a new job, or one that was refused before, in which case `epoch` is the one it had.
 struct Take {
   std::string key;
   Repeat repeat = Repeat::once;
   double deadline = 0;
   std::uint64_t epoch = 0;
 };
-struct Recovered {  // read from the store at the start
+// A job was read from the store at startup.
+struct Recovered {
   Job job;
 };
-struct Resumed {  // the same, but this very process still has its execution out
+// A job was read from the store while this process still runs its execution.
+struct Resumed {
   Job job;
 };
-struct Chosen {  // the module wants it to go to this worker
+// The decision module chose this worker for the job.
+struct Chosen {
   std::string key, worker, ledger;
   bool answers = false;
 };
-struct Heard {  // a heartbeat: `started` or `running`
+// A heartbeat arrived: `started` or `running`.
+struct Heard {
   std::string key;
   std::uint64_t epoch = 0;
 };
+// Outcome of an execution. `not_run`: it is proved that nothing ran.
 enum class End { done, failed, not_run, unknown };
-struct Ended {  // the execution under this lease
+// The execution under this lease ended.
+struct Ended {
   std::string key;
   std::uint64_t epoch = 0;
   End end = End::unknown;
 };
-struct GivenUp {  // the module answers without a result
+// The decision module answered without a result.
+struct GivenUp {
   std::string key;
   bool refused = false;
 };
+// Worker's answer about a job. `never`: its ledger has no such job. `unreachable`: no answer came.
 enum class Says { finished, failed, running, never, unknown, unreachable };
-struct Answered {  // to an Ask of this epoch
+// The answer to an Ask of this epoch.
+struct Answered {
   std::string key;
   std::uint64_t epoch = 0;
   Says says = Says::unreachable;
   std::string ledger;
 };
+// The client withdraws the job.
 struct Withdraw {
   std::string key;
 };
+// Time has passed; see next_due().
 struct Tick {};
 
 using Event = std::variant<Take, Recovered, Resumed, Chosen, Heard, Ended, GivenUp, Answered, Withdraw, Tick>;
 
 // Effects ------------------------------------------------------------------------------------------------
 
-struct Dispatch {  // hand it to the module; any earlier handing in is void
+// Hand the job to the decision module. Any earlier hand-over is void.
+struct Dispatch {
   std::string key;
 };
-struct Start {  // the execution that the module chose may go to its worker, once all Writes are on the disk
+// Send the execution to the chosen worker, once all preceding Writes are on disk.
+struct Start {
   std::string key;
   std::uint64_t epoch = 0;
 };
-struct Unsend {  // it must not go: nothing ran of it
+// Do not send the execution. Nothing of it ran.
+struct Unsend {
   std::string key;
 };
-struct Retract {  // the module shall think no more of it
+// Remove the job from the decision module.
+struct Retract {
   std::string key;
 };
-struct Write {  // the job as it is now; `lazy`: no need to hurry
+// Write the current state of the job to the store. `lazy`: it need not be synced at once.
+struct Write {
   std::string key;
   bool lazy = false;
 };
-struct Ask {  // its worker, once all Writes are on the disk; the worker shall begin nothing of it below
-              // `epoch`
+// Ask the worker about the job, once all preceding Writes are on disk. From then on the worker must not begin
+// the job with an epoch below `epoch`.
+struct Ask {
   std::string key, worker;
   std::uint64_t epoch = 0;
 };
-struct Tell {  // it has come to its final state: the owner tells all who wait, then forgets it
+// The job has reached its final state: the owner notifies all waiting clients, then calls forget().
+struct Tell {
   std::string key;
 };
 
 using Effect = std::variant<Dispatch, Start, Unsend, Retract, Write, Ask, Tell>;
 
+// All open jobs and their leases.
 class Table {
  public:
   explicit Table(Settings settings) : settings_(settings) {}
 
-  // Appends to `effects` what to do, in order.
+  // Processes an event and appends the resulting effects, which the owner must carry out in order.
   void handle(double now, const Event& event, std::vector<Effect>& effects);
-  // When the next Tick has work; nullopt: never.
+  // Time of the next Tick that has work to do; nullopt if there is none.
   std::optional<double> next_due() const;
 
+  // The open job with this key; nullptr if there is none.
   const Job* find(const std::string& key) const;
-  // A job that has come to its final state, once that is written.
+  // Removes a job that has reached its final state, once the record is written.
   void forget(const std::string& key);
+  // Number of jobs in the table.
   std::size_t size() const { return jobs_.size(); }
 
  private:
-  struct Open {
+  struct OpenJob {
     Job job;
-    double until = 0;    // end of the lease
-    double give_up = 0;  // by when it must be final
-    double ask_at = 0;
-    bool asking = false;  // only the worker's word counts now
-    bool written = false;
-    double due = 0;  // its place in due_
+    double lease_until_ms = 0;  // end of the lease
+    double final_by_ms = 0;     // the job must be final by then
+    double next_ask_ms = 0;
+    bool awaiting_worker = false;  // an inquiry is open: only the worker's answer counts now
+    bool is_recorded = false;      // the store has a record of it
+    double due_ms = 0;             // its key in due_jobs_
   };
 
-  void on(double now, const Take& event);
-  void on(double now, const Recovered& event);
-  void on(double now, const Resumed& event);
-  void on(double now, const Chosen& event);
-  void on(double now, const Heard& event);
-  void on(double now, const Ended& event);
-  void on(double now, const GivenUp& event);
-  void on(double now, const Answered& event);
-  void on(double now, const Withdraw& event);
-  void on(double now, const Tick& event);
-
-  Open* leased(const std::string& key, std::uint64_t epoch);
-  Open& add(Job job, double give_up);
-  void tick_one(double now, Open& open);
-  void set(double now, Open& open, State state);
-  void finish(double now, Open& open, State state, std::string why);
-  void release(double now, Open& open);
-  void doubt(double now, Open& open, const std::string& why);
-  void schedule(Open& open);
+  void handle_event(double now, const Take& event);
+  void handle_event(double now, const Recovered& event);
+  void handle_event(double now, const Resumed& event);
+  void handle_event(double now, const Chosen& event);
+  void handle_event(double now, const Heard& event);
+  void handle_event(double now, const Ended& event);
+  void handle_event(double now, const GivenUp& event);
+  void handle_event(double now, const Answered& event);
+  void handle_event(double now, const Withdraw& event);
+  void handle_event(double now, const Tick& event);
+
+  OpenJob* find_leased(const std::string& key, std::uint64_t epoch);
+  OpenJob& add(Job job, double final_by_ms);
+  void handle_due(double now, OpenJob& open);
+  void set_state(double now, OpenJob& open, State state);
+  void finalize(double now, OpenJob& open, State state, std::string why);
+  void release_lease(double now, OpenJob& open);
+  void resolve_doubt(double now, OpenJob& open, const std::string& why);
+  void update_due(OpenJob& open);
 
   Settings settings_;
-  std::map<std::string, Open> jobs_;
-  std::set<std::pair<double, std::string>> due_;
-  std::vector<Effect>* out_ = nullptr;  // during handle()
+  std::map<std::string, OpenJob> jobs_;
+  std::set<std::pair<double, std::string>> due_jobs_;
+  std::vector<Effect>* effects_ = nullptr;  // set during handle() only
 };
 
-// A person ends a job in doubt. False, and nothing changed, where it is not in doubt.
+// Ends a job in doubt by an operator's decision. Returns false, with nothing changed, if it is not in doubt.
 bool settle(Job& job, double now, bool as_finished, const std::string& who, const std::string& why);
 
 }  // namespace woadtide::lease
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -80,8 +80,8 @@
   // Of the 15 % of memory kept free beyond that, the endpoint list may take half at its peak.
   const std::size_t reserved_bytes = memory_mb * 1'000'000 / processes - usable_bytes;
   list = endpoints::endpoint_limits(reserved_bytes / 2 * endpoints::kMemoryShare);
-  // Most queries take one buffer, so memory is given to links first; the rest becomes buffers, about one and
-  // a half for each client link.
+  // Most queries take one buffer. One buffer per link gives about one and a half per client link, so links
+  // take precedence over further buffers.
   const std::size_t links_by_memory = link_memory_bytes / (kLinkBytes + net::kBufferBytes);
   const std::size_t links = std::max<std::size_t>(std::min(descriptors_for_links, links_by_memory), 8);
   server_links = links * 2 / 5;
