--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -15,8 +15,9 @@
 
 namespace {
 
-// Keys, types and ranges. The units are in the names; deploy/woadtide.toml explains each.
-constexpr const char* kSchema = R"({
+// JSON schema of the file: keys, types and ranges. Key names carry the units; deploy/woadtide.toml documents
+// each key.
+constexpr const char* kFileSchema = R"({
   "type": "object", "additionalProperties": false,
   "properties": {
     "format": {"type": "integer", "minimum": 1},
@@ -89,82 +90,89 @@
   }
 })";
 
-nlohmann::json as_json(const toml::node& node) {
+// Converts TOML to JSON, for validation against the schema.
+nlohmann::json to_json(const toml::node& node) {
   if (const auto* table = node.as_table()) {
     nlohmann::json object = nlohmann::json::object();
-    for (const auto& [key, value] : *table) object[std::string(key.str())] = as_json(value);
+    for (const auto& [key, value] : *table) object[std::string(key.str())] = to_json(value);
     return object;
   }
   if (const auto* array = node.as_array()) {
     nlohmann::json list = nlohmann::json::array();
-    for (const auto& value : *array) list.push_back(as_json(value));
+    for (const auto& value : *array) list.push_back(to_json(value));
     return list;
   }
   if (const auto* text = node.as_string()) return text->get();
   if (const auto* number = node.as_integer()) return number->get();
   if (const auto* number = node.as_floating_point()) return number->get();
   if (const auto* flag = node.as_boolean()) return flag->get();
-  std::ostringstream text;  // dates and times: a text is what the schema can name
+  std::ostringstream text;  // dates and times, which the schema only knows as strings
   text << toml::node_view<const toml::node>(&node);
   return text.str();
 }
 
-// The place of the key that `path` names, with its line. A key that should not be there has its own line.
-std::string place_of(const toml::table& whole, const std::vector<std::string>& path, std::string& name) {
-  const toml::node* node = &whole;
-  for (const std::string& part : path) {
-    const toml::node* next = nullptr;
-    if (const auto* table = node->as_table()) next = table->get(part);
+// Line of the key at `key_parts`, whose dotted name is appended to `dotted_key`; an unknown key has a line
+// too. If a part of the path does not exist, the last existing part counts.
+std::string line_of(const toml::table& document, const std::vector<std::string>& key_parts,
+                    std::string& dotted_key) {
+  const toml::node* node = &document;
+  for (const std::string& part : key_parts) {
+    const toml::node* child = nullptr;
+    if (const auto* table = node->as_table()) child = table->get(part);
     if (const auto* array = node->as_array())
-      next = array->get(static_cast<std::size_t>(std::atoi(part.c_str())));
-    if (!next) break;
-    name += (name.empty() ? "" : ".") + part;
-    node = next;
+      child = array->get(static_cast<std::size_t>(std::atoi(part.c_str())));
+    if (!child) break;
+    dotted_key += (dotted_key.empty() ? "" : ".") + part;
+    node = child;
   }
   return std::to_string(node->source().begin.line);
 }
 
-std::string first_wrong(const toml::table& whole, const nlohmann::json& object) {
-  const nlohmann::json schema_text = nlohmann::json::parse(kSchema);
+// Validates the document against the schema. Returns the line, key and description of one error; empty if
+// valid.
+std::string validation_error(const toml::table& document, const nlohmann::json& object) {
+  const nlohmann::json schema_text = nlohmann::json::parse(kFileSchema);
   valijson::Schema schema;
   valijson::SchemaParser().populateSchema(valijson::adapters::NlohmannJsonAdapter(schema_text), schema);
   valijson::ValidationResults results;
   valijson::Validator validator(valijson::Validator::kStrongTypes);
   if (validator.validate(schema, valijson::adapters::NlohmannJsonAdapter(object), &results)) return {};
-  // The deepest error is the cause, those above it follow from it.
+  // The deepest error is the cause; those above it follow from it.
   valijson::ValidationResults::Error error, deepest;
   while (results.popError(error))
     if (error.context.size() >= deepest.context.size()) deepest = error;
-  std::vector<std::string> path;
+  std::vector<std::string> key_parts;
   for (const std::string& part : deepest.context) {
     if (part == "<root>") continue;
-    path.push_back(part.size() > 2 && part.front() == '[' ? part.substr(1, part.size() - 2) : part);
+    key_parts.push_back(part.size() > 2 && part.front() == '[' ? part.substr(1, part.size() - 2) : part);
   }
-  // valijson names a key that is not known in its text alone.
-  std::string unknown;
+  // valijson names an unknown key only in the description of the error.
+  std::string unknown_key;
   if (const auto at = deepest.description.find("additional property '"); at != std::string::npos) {
-    unknown = deepest.description.substr(at + 21);
-    unknown = unknown.substr(0, unknown.find('\''));
+    unknown_key = deepest.description.substr(at + 21);
+    unknown_key = unknown_key.substr(0, unknown_key.find('\''));
   } else if (const auto quote = deepest.description.rfind('\'');
              deepest.description.find("propert") != std::string::npos && quote != std::string::npos) {
     const auto open = deepest.description.rfind('\'', quote - 1);
-    if (open != std::string::npos) unknown = deepest.description.substr(open + 1, quote - open - 1);
+    if (open != std::string::npos) unknown_key = deepest.description.substr(open + 1, quote - open - 1);
   }
-  if (!unknown.empty()) path.push_back(unknown);
-  std::string name;
-  const std::string line = place_of(whole, path, name);
-  return line + ": " + (name.empty() ? "the file" : name) + ": " +
-         (unknown.empty() ? deepest.description : std::string("no such key"));
+  if (!unknown_key.empty()) key_parts.push_back(unknown_key);
+  std::string dotted_key;
+  const std::string line = line_of(document, key_parts, dotted_key);
+  return line + ": " + (dotted_key.empty() ? "the file" : dotted_key) + ": " +
+         (unknown_key.empty() ? deepest.description : std::string("no such key"));
 }
 
+// Reads the value of a key; leaves `value` unchanged if the key is absent.
 template <typename Value>
-void take(const toml::table& part, const char* key, Value& value) {
+void read_value(const toml::table& part, const char* key, Value& value) {
   if (const auto found = part[key].value<Value>()) value = *found;
 }
 
-// The keys that a newer file has and this program does not know, taken out.
-void pass_over(const nlohmann::json& schema, toml::table& part, const std::string& at,
-               std::vector<std::string>& passed) {
+// Removes the keys that a newer format has and this program does not know. `prefix`: dotted name of the table
+// with a dot, `removed_keys`: receives the names of the removed keys.
+void remove_unknown_keys(const nlohmann::json& schema, toml::table& part, const std::string& prefix,
+                         std::vector<std::string>& removed_keys) {
   const auto& known = schema.at("properties");
   std::vector<std::string> unknown;
   for (auto& [key, value] : part) {
@@ -172,107 +180,108 @@
     if (!known.contains(name))
       unknown.push_back(name);
     else if (value.is_table() && known.at(name).contains("properties"))
-      pass_over(known.at(name), *value.as_table(), at + name + '.', passed);
+      remove_unknown_keys(known.at(name), *value.as_table(), prefix + name + '.', removed_keys);
   }
   for (const std::string& name : unknown) {
-    passed.push_back(at + name);
+    removed_keys.push_back(prefix + name);
     part.erase(name);
   }
 }
 
-void take_texts(const toml::table& part, const char* key, std::vector<std::string>& values) {
+void read_strings(const toml::table& part, const char* key, std::vector<std::string>& values) {
   if (const auto* array = part[key].as_array())
     for (const auto& value : *array) values.push_back(value.value_or<std::string>(""));
 }
 
 SupervisePart read_supervise(const toml::table& table) {
   SupervisePart part;
-  take(table, "folder", part.folder);
-  take(table, "config", part.config);
-  take(table, "control", part.control);
-  take(table, "zone", part.zone);
-  take_texts(table, "management", part.management);
-  take(table, "program", part.program);
-  take(table, "settings", part.settings);
-  take(table, "ready_ms", part.ready_ms);
-  take(table, "end_ms", part.end_ms);
-  take(table, "good_ms", part.good_ms);
-  take(table, "crashes", part.crashes);
-  take(table, "backoff_ms", part.backoff_ms);
-  take(table, "most_backoff_ms", part.most_backoff_ms);
+  read_value(table, "folder", part.folder);
+  read_value(table, "config", part.config);
+  read_value(table, "control", part.control);
+  read_value(table, "zone", part.zone);
+  read_strings(table, "management", part.management);
+  read_value(table, "program", part.program);
+  read_value(table, "settings", part.settings);
+  read_value(table, "ready_ms", part.ready_ms);
+  read_value(table, "end_ms", part.end_ms);
+  read_value(table, "good_ms", part.good_ms);
+  read_value(table, "crashes", part.crashes);
+  read_value(table, "backoff_ms", part.backoff_ms);
+  read_value(table, "most_backoff_ms", part.most_backoff_ms);
   return part;
 }
 
 RolloutPart read_rollout(const toml::table& table) {
   RolloutPart part;
-  take(table, "folder", part.folder);
+  read_value(table, "folder", part.folder);
   if (const auto* members = table["members"].as_array())
-    for (const auto& one : *members) {
+    for (const auto& entry : *members) {
       RolloutPart::Member& member = part.members.emplace_back();
-      take(*one.as_table(), "name", member.name);
-      take(*one.as_table(), "zone", member.zone);
-      take(*one.as_table(), "control", member.control);
+      read_value(*entry.as_table(), "name", member.name);
+      read_value(*entry.as_table(), "zone", member.zone);
+      read_value(*entry.as_table(), "control", member.control);
     }
   if (const auto* stages = table["stages"].as_array())
     for (const auto& stage : *stages) part.stages.push_back(stage.value_or(0));
-  take(table, "turn_ms", part.turn_ms);
-  take(table, "look_ms", part.look_ms);
-  take(table, "bake_ms", part.bake_ms);
-  take(table, "patience_ms", part.patience_ms);
-  take(table, "step_ms", part.step_ms);
-  take(table, "tries", part.tries);
-  take(table, "margin", part.margin);
-  take(table, "false_stop", part.false_stop);
-  take(table, "false_go", part.false_go);
+  read_value(table, "turn_ms", part.turn_ms);
+  read_value(table, "look_ms", part.look_ms);
+  read_value(table, "bake_ms", part.bake_ms);
+  read_value(table, "patience_ms", part.patience_ms);
+  read_value(table, "step_ms", part.step_ms);
+  read_value(table, "tries", part.tries);
+  read_value(table, "margin", part.margin);
+  read_value(table, "false_stop", part.false_stop);
+  read_value(table, "false_go", part.false_go);
   return part;
 }
 
 }  // namespace
 
 OperatorFile load_operator_file(const std::string& path) {
-  toml::table whole;
+  toml::table document;
   try {
-    whole = toml::parse_file(path);
-  } catch (const toml::parse_error& wrong) {
-    throw std::runtime_error(path + ':' + std::to_string(wrong.source().begin.line) + ": " +
-                             std::string(wrong.description()));
+    document = toml::parse_file(path);
+  } catch (const toml::parse_error& error) {
+    throw std::runtime_error(path + ':' + std::to_string(error.source().begin.line) + ": " +
+                             std::string(error.description()));
   }
   OperatorFile file;
-  take(whole, "format", file.format);
+  read_value(document, "format", file.format);
   if (file.format > kFileFormat + 1)
-    throw std::runtime_error(path + ':' + std::to_string(whole["format"].node()->source().begin.line) +
+    throw std::runtime_error(path + ':' + std::to_string(document["format"].node()->source().begin.line) +
                              ": format: " + std::to_string(file.format) + " is more than one step from " +
                              std::to_string(kFileFormat) + ", which this program reads");
-  if (file.format > kFileFormat) pass_over(nlohmann::json::parse(kSchema), whole, "", file.passed_over);
-  const std::string wrong = first_wrong(whole, as_json(whole));
-  if (!wrong.empty()) throw std::runtime_error(path + ':' + wrong);
-  if (const auto* jobs = whole["jobs"].as_table()) {
+  if (file.format > kFileFormat)
+    remove_unknown_keys(nlohmann::json::parse(kFileSchema), document, "", file.passed_over);
+  const std::string error = validation_error(document, to_json(document));
+  if (!error.empty()) throw std::runtime_error(path + ':' + error);
+  if (const auto* jobs = document["jobs"].as_table()) {
     JobsPart& part = file.jobs;
-    take(*jobs, "enabled", part.enabled);
-    take(*jobs, "listen", part.listen);
-    take(*jobs, "operators", part.operators);
-    take(*jobs, "folder", part.folder);
-    take(*jobs, "most_mb", part.most_mb);
-    take(*jobs, "most_open", part.most_open);
-    take(*jobs, "links", part.links);
-    take(*jobs, "lease_ms", part.lease_ms);
-    take(*jobs, "ask_every_ms", part.ask_every_ms);
-    take(*jobs, "early_ms", part.early_ms);
-    take(*jobs, "keep_hours", part.keep_hours);
-    if (const auto* kinds = (*jobs)["answering_kinds"].as_array())
-      for (const auto& kind : *kinds) part.answering.push_back(kind.value_or<std::string>(""));
+    read_value(*jobs, "enabled", part.enabled);
+    read_value(*jobs, "listen", part.listen);
+    read_value(*jobs, "operators", part.operators);
+    read_value(*jobs, "folder", part.folder);
+    read_value(*jobs, "most_mb", part.most_mb);
+    read_value(*jobs, "most_open", part.most_open);
+    read_value(*jobs, "links", part.links);
+    read_value(*jobs, "lease_ms", part.lease_ms);
+    read_value(*jobs, "ask_every_ms", part.ask_every_ms);
+    read_value(*jobs, "early_ms", part.early_ms);
+    read_value(*jobs, "keep_hours", part.keep_hours);
+    if (const auto* worker_kinds = (*jobs)["answering_kinds"].as_array())
+      for (const auto& kind : *worker_kinds) part.answering.push_back(kind.value_or<std::string>(""));
     if (part.enabled && part.folder.empty())
       throw std::runtime_error(path + ':' + std::to_string(jobs->source().begin.line) +
                                ": jobs.folder: wanted where jobs are enabled");
   }
-  if (const auto* log = whole["log"].as_table()) {
+  if (const auto* log = document["log"].as_table()) {
     std::string format = "text";
-    take(*log, "format", format);
+    read_value(*log, "format", format);
     file.log.json = format == "json";
-    take(*log, "queue", file.log.queue);
+    read_value(*log, "queue", file.log.queue);
   }
-  if (const auto* supervise = whole["supervise"].as_table()) file.supervise = read_supervise(*supervise);
-  if (const auto* rollout = whole["rollout"].as_table()) file.rollout = read_rollout(*rollout);
+  if (const auto* supervise = document["supervise"].as_table()) file.supervise = read_supervise(*supervise);
+  if (const auto* rollout = document["rollout"].as_table()) file.rollout = read_rollout(*rollout);
   return file;
 }
 
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -1,5 +1,5 @@
-// The operator's own file, TOML: what is on beside the platform's part. All of it is off where there is no
-// file.
+// The operator's configuration file (TOML): features beyond those that the platform configures. All of them
+// are off if there is no file.
 #pragma once
 
 #include <cstdint>
@@ -9,65 +9,71 @@
 
 namespace woadtide::config {
 
+// Section [jobs]: the durable job service. Members are named like their keys.
 struct JobsPart {
   bool enabled = false;
   std::string listen = "127.0.0.1:8300";
-  std::string operators;  // empty: none
-  std::string folder;
-  std::int64_t most_mb = 1'024;
-  std::int64_t most_open = 10'000;
-  std::int64_t links = 64;
+  std::string operators;            // address of the operators' listener; empty if there is none
+  std::string folder;               // directory of the store
+  std::int64_t most_mb = 1'024;     // maximum size of the store on disk
+  std::int64_t most_open = 10'000;  // maximum number of open jobs
+  std::int64_t links = 64;          // maximum number of client links
   std::int64_t lease_ms = 10'000;
   std::int64_t ask_every_ms = 250;
   std::int64_t early_ms = 250;
   std::int64_t keep_hours = 168;
-  std::vector<std::string> answering;  // kinds of workers
+  std::vector<std::string> answering;  // kinds of workers that answer inquiries about jobs
 };
 
+// Section [log].
 struct LogPart {
-  bool json = false;
-  std::int64_t queue = 8'192;  // lines
+  bool json = false;           // one JSON object per line instead of text
+  std::int64_t queue = 8'192;  // capacity in lines
 };
 
-// One dispatcher's parent, docs/supervise.md.
+// Section [supervise]: the supervisor of one dispatcher. See docs/supervise.md.
 struct SupervisePart {
-  std::string folder, config, control;  // all three wanted where `woadtide supervise` is to run
+  std::string folder, config, control;  // all three are required by `woadtide supervise`
   std::string zone = "";
   std::vector<std::string> management;  // two addresses
-  std::string program, settings;        // of the first start; empty: this program, no file
+  std::string program, settings;        // for the first start; empty: this program, and no operator's file
   double ready_ms = 10'000, end_ms = 8'000, good_ms = 30'000;
   double backoff_ms = 100, most_backoff_ms = 5'000;
   std::int64_t crashes = 3;
 };
 
-// Changes of the fleet, docs/rollout.md.
+// Section [rollout]: staged changes of the fleet. See docs/rollout.md.
 struct RolloutPart {
+  // A dispatcher of the fleet. `control`: address of its supervisor.
   struct Member {
     std::string name, zone, control;
   };
   std::string folder;
   std::vector<Member> members;
-  std::vector<int> stages;  // empty: one, a quarter, all
-  double turn_ms = 1'000;   // gap between two looks at all members
+  std::vector<int> stages;  // cumulative number of changed members per stage; empty: one, a quarter, all
+  double turn_ms = 1'000;   // interval between two polls of all members
+  // History used as the baseline; minimum and maximum duration of a stage; time limit of an order.
   double look_ms = 10'000, bake_ms = 60'000, patience_ms = 600'000, step_ms = 30'000;
   std::int64_t tries = 3;
   double margin = 0.02, false_stop = 0.01, false_go = 0.05;
 };
 
-// Of the file. One step apart they go together: an older file is whole without the newer keys, and in a newer
-// one the keys that are not known are passed over.
+// Format version of the file. Versions one step apart are compatible: an older file is complete without the
+// newer keys, and in a newer file the unknown keys are ignored.
 constexpr std::int64_t kFileFormat = 2;
 
+// The whole file.
 struct OperatorFile {
   std::int64_t format = kFileFormat;
-  std::vector<std::string> passed_over;  // keys of a newer file
+  std::vector<std::string> passed_over;  // unknown keys of a newer format
   JobsPart jobs;
   LogPart log;
   SupervisePart supervise;
   RolloutPart rollout;
 };
 
-// Throws std::runtime_error with one line: file, line, key and what was expected.
+// Reads and validates the file. Throws std::runtime_error with one line of text that names the file, line,
+// key and what was expected.
 OperatorFile load_operator_file(const std::string& path);
 
 }  // namespace woadtide::config
--- a/src/log/structured.cpp
+++ b/src/log/structured.cpp
@@ -17,21 +17,23 @@
 
 namespace {
 
-std::shared_ptr<spdlog::details::thread_pool> pool;
-std::array<std::shared_ptr<spdlog::logger>, 2> loggers;  // text, JSON: a line is of one form, whole
-std::atomic<bool> as_json{false};
+std::shared_ptr<spdlog::details::thread_pool> writer_pool;
+std::array<std::shared_ptr<spdlog::logger>, 2>
+    loggers;  // text, JSON; separate, so that no line mixes both formats
+std::atomic<bool> json_enabled{false};
 
-// "jobs: KEY is in doubt" is of the part "jobs".
+// Logs one line. The component before the first ": ", such as "jobs" in "jobs: KEY is in doubt", becomes the
+// field "part" in JSON.
 void write(std::string_view text) {
-  const bool json = as_json;
+  const bool json = json_enabled;
   spdlog::logger& logger = *loggers[json ? 1 : 0];
   if (!json) return logger.info(spdlog::string_view_t(text.data(), text.size()));
-  const auto colon = text.find(": ");
+  const auto separator = text.find(": ");
   nlohmann::json line = {
-      {"part", colon == std::string_view::npos ? "" : std::string(text.substr(0, colon))},
-      {"text", std::string(colon == std::string_view::npos ? text : text.substr(colon + 2))}};
-  if (const auto dropped = pool->overrun_counter(); dropped > 0) line["dropped_lines"] = dropped;
-  // The fields stand behind the time, which the pattern writes.
+      {"part", separator == std::string_view::npos ? "" : std::string(text.substr(0, separator))},
+      {"text", std::string(separator == std::string_view::npos ? text : text.substr(separator + 2))}};
+  if (const auto dropped = writer_pool->overrun_counter(); dropped > 0) line["dropped_lines"] = dropped;
+  // The fields follow the time, which the pattern of the JSON logger writes.
   const std::string fields = line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace).substr(1);
   logger.info(spdlog::string_view_t(fields.data(), fields.size()));
 }
@@ -39,14 +41,14 @@
 }  // namespace
 
 Structured::Structured(bool json, std::size_t queue) {
-  as_json = json;
-  pool = std::make_shared<spdlog::details::thread_pool>(queue, 1);
+  json_enabled = json;
+  writer_pool = std::make_shared<spdlog::details::thread_pool>(queue, 1);
   for (const bool is_json : {false, true}) {
-    // A sink has one form: each logger has its own on the same stream.
+    // A sink has a single format, so each logger has its own sink on the same stream.
     auto& logger = loggers[is_json ? 1 : 0];
     logger =
         std::make_shared<spdlog::async_logger>("woadtide", std::make_shared<spdlog::sinks::stderr_sink_mt>(),
-                                               pool, spdlog::async_overflow_policy::overrun_oldest);
+                                               writer_pool, spdlog::async_overflow_policy::overrun_oldest);
     logger->set_formatter(std::make_unique<spdlog::pattern_formatter>(
         is_json ? R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ",%v)" : "%Y-%m-%dT%H:%M:%S.%eZ %v",
         spdlog::pattern_time_type::utc));
@@ -55,11 +57,12 @@
   core::set_log_sink(write);
 }
 
-void Structured::set_json(bool json) { as_json = json; }
+void Structured::set_json(bool json) { json_enabled = json; }
 
 Structured::~Structured() {
   core::set_log_sink(nullptr);
-  pool.reset();  // writes what waits, and joins the thread, which must not be the last to let go of a logger
+  writer_pool.reset();  // writes the queued lines and joins the thread, which must not hold the last
+                        // reference to a logger
   loggers = {};
 }
 
--- a/src/log/structured.hpp
+++ b/src/log/structured.hpp
@@ -1,19 +1,21 @@
-// The log as the operator's file wants it: text as ever or an object a line, written by a thread of its own
-// from a bounded queue. A standard error that nobody reads holds nothing up.
+// Asynchronous log in the format that the operator's file selects: plain text or one JSON object per line. A
+// thread of its own writes from a bounded queue to standard error, so that a blocked standard error delays
+// nothing.
 #pragma once
 
 #include <cstddef>
 
 namespace woadtide::log {
 
-// Takes over core::log_line until the object goes. One at a time.
+// Receives the lines of core::log_line during its lifetime. Only one may exist at a time.
 class Structured {
  public:
+  // `queue`: capacity in lines; when it is full, the oldest lines are dropped.
   Structured(bool json, std::size_t queue);
   ~Structured();
   Structured(const Structured&) = delete;
   Structured& operator=(const Structured&) = delete;
-  // From here on, at any time.
+  // Switches between text and JSON for all following lines, at any time.
   void set_json(bool json);
 };
 
