--- a/src/endpoints/endpoints.hpp
+++ b/src/endpoints/endpoints.hpp
@@ -1,4 +1,4 @@
-// The package's header: reading, bounding and holding the endpoint list of service discovery.
+// Public header of this module: reads, limits and holds the endpoint list of service discovery.
 #pragma once
 
 #include "endpoints/limits.hpp"
--- a/src/endpoints/json_value_scanner.cpp
+++ b/src/endpoints/json_value_scanner.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int kHexDigitsOfEscape = 4;
+constexpr int kHexDigitsPerEscape = 4;
 
 bool is_digit(char byte) { return byte >= '0' && byte <= '9'; }
 
@@ -48,7 +48,7 @@
   }
 }
 
-JsonValueScanner::Result JsonValueScanner::go_on(State next) {
+JsonValueScanner::Result JsonValueScanner::advance_to(State next) {
   state_ = next;
   return Result::incomplete;
 }
@@ -62,10 +62,10 @@
     case State::key_or_object_end:
       return byte == '}' ? end_container(byte) : begin_key(byte);
     case State::colon:
-      return byte == ':' ? go_on(State::value) : Result::invalid;
+      return byte == ':' ? advance_to(State::value) : Result::invalid;
     case State::comma_or_end:
       if (byte != ',') return end_container(byte);
-      return go_on(containers_[depth_ - 1] == Container::object ? State::key : State::value);
+      return advance_to(containers_[depth_ - 1] == Container::object ? State::key : State::value);
     default:
       return begin_value(byte);
   }
@@ -79,7 +79,7 @@
       return begin_container(Container::array);
     case '"':
       string_is_key_ = false;
-      return go_on(State::string);
+      return advance_to(State::string);
     case 't':
       return begin_literal("rue");
     case 'f':
@@ -87,30 +87,30 @@
     case 'n':
       return begin_literal("ull");
     case '-':
-      return go_on(State::minus);
+      return advance_to(State::minus);
     case '0':
-      return go_on(State::zero);
+      return advance_to(State::zero);
     default:
       return expect_digit(byte, State::integer);
   }
 }
 
 JsonValueScanner::Result JsonValueScanner::begin_container(Container container) {
-  if (depth_ == kMaxDepth) return Result::too_deep;
+  if (depth_ == kMaxNestingDepth) return Result::too_deep;
   containers_[depth_] = container;
   depth_ += 1;
-  return go_on(container == Container::object ? State::key_or_object_end : State::value_or_array_end);
+  return advance_to(container == Container::object ? State::key_or_object_end : State::value_or_array_end);
 }
 
-JsonValueScanner::Result JsonValueScanner::begin_literal(std::string_view rest) {
-  literal_rest_ = rest;
-  return go_on(State::literal);
+JsonValueScanner::Result JsonValueScanner::begin_literal(std::string_view remaining) {
+  remaining_literal_ = remaining;
+  return advance_to(State::literal);
 }
 
 JsonValueScanner::Result JsonValueScanner::begin_key(char byte) {
   if (byte != '"') return Result::invalid;
   string_is_key_ = true;
-  return go_on(State::string);
+  return advance_to(State::string);
 }
 
 JsonValueScanner::Result JsonValueScanner::end_container(char byte) {
@@ -122,40 +122,40 @@
 
 JsonValueScanner::Result JsonValueScanner::end_value() {
   if (depth_ == 0) return Result::complete;
-  return go_on(State::comma_or_end);
+  return advance_to(State::comma_or_end);
 }
 
 JsonValueScanner::Result JsonValueScanner::scan_string(char byte) {
   if (!utf8_.accept(byte) || is_control(byte)) return Result::invalid;
-  if (byte == '\\') return go_on(State::escape);
+  if (byte == '\\') return advance_to(State::escape);
   if (byte != '"') return Result::incomplete;
-  return string_is_key_ ? go_on(State::colon) : end_value();
+  return string_is_key_ ? advance_to(State::colon) : end_value();
 }
 
 JsonValueScanner::Result JsonValueScanner::scan_escape(char byte) {
-  constexpr std::string_view kEscapes = "\"\\/bfnrt";
-  if (kEscapes.find(byte) != std::string_view::npos) return go_on(State::string);
+  constexpr std::string_view kEscapedCharacters = "\"\\/bfnrt";
+  if (kEscapedCharacters.find(byte) != std::string_view::npos) return advance_to(State::string);
   if (byte != 'u') return Result::invalid;
-  hex_digits_left_ = kHexDigitsOfEscape;
-  return go_on(State::hex_digits);
+  remaining_hex_digits_ = kHexDigitsPerEscape;
+  return advance_to(State::hex_digits);
 }
 
 JsonValueScanner::Result JsonValueScanner::scan_hex_digit(char byte) {
   if (!is_hex_digit(byte)) return Result::invalid;
-  hex_digits_left_ -= 1;
-  return go_on(hex_digits_left_ == 0 ? State::string : State::hex_digits);
+  remaining_hex_digits_ -= 1;
+  return advance_to(remaining_hex_digits_ == 0 ? State::string : State::hex_digits);
 }
 
 JsonValueScanner::Result JsonValueScanner::scan_literal(char byte) {
-  if (byte != literal_rest_.front()) return Result::invalid;
-  literal_rest_.remove_prefix(1);
-  return literal_rest_.empty() ? end_value() : Result::incomplete;
+  if (byte != remaining_literal_.front()) return Result::invalid;
+  remaining_literal_.remove_prefix(1);
+  return remaining_literal_.empty() ? end_value() : Result::incomplete;
 }
 
 JsonValueScanner::Result JsonValueScanner::scan_number(char byte) {
   switch (state_) {
     case State::minus:
-      return byte == '0' ? go_on(State::zero) : expect_digit(byte, State::integer);
+      return byte == '0' ? advance_to(State::zero) : expect_digit(byte, State::integer);
     case State::integer:
       return is_digit(byte) ? Result::incomplete : scan_integer_end(byte);
     case State::point:
@@ -163,7 +163,7 @@
     case State::fraction:
       return is_digit(byte) ? Result::incomplete : scan_exponent_start(byte);
     case State::exponent:
-      if (byte == '+' || byte == '-') return go_on(State::exponent_sign);
+      if (byte == '+' || byte == '-') return advance_to(State::exponent_sign);
       return expect_digit(byte, State::exponent_digits);
     case State::exponent_sign:
       return expect_digit(byte, State::exponent_digits);
@@ -175,15 +175,15 @@
 }
 
 JsonValueScanner::Result JsonValueScanner::scan_integer_end(char byte) {
-  return byte == '.' ? go_on(State::point) : scan_exponent_start(byte);
+  return byte == '.' ? advance_to(State::point) : scan_exponent_start(byte);
 }
 
 JsonValueScanner::Result JsonValueScanner::scan_exponent_start(char byte) {
-  return byte == 'e' || byte == 'E' ? go_on(State::exponent) : end_number(byte);
+  return byte == 'e' || byte == 'E' ? advance_to(State::exponent) : end_number(byte);
 }
 
 JsonValueScanner::Result JsonValueScanner::expect_digit(char byte, State next) {
-  return is_digit(byte) ? go_on(next) : Result::invalid;
+  return is_digit(byte) ? advance_to(next) : Result::invalid;
 }
 
 JsonValueScanner::Result JsonValueScanner::end_number(char byte) {
--- a/src/endpoints/json_value_scanner.hpp
+++ b/src/endpoints/json_value_scanner.hpp
@@ -1,6 +1,6 @@
-// Finds the end of one JSON value (RFC 8259) that comes byte by byte, and checks its grammar and UTF-8 on the
-// way. It keeps no text. The size of numbers and the pairing of \u surrogates are not checked here: a parser
-// does so for the values that are kept.
+// Finds the end of a JSON value (RFC 8259) that arrives byte by byte, and validates its grammar and UTF-8. It
+// stores no text. The range of numbers and the pairing of \u surrogates are not checked here: a parser does
+// so for the values that are kept.
 #pragma once
 
 #include <array>
@@ -11,22 +11,25 @@
 
 namespace woadtide::endpoints {
 
-// One value after the other, each from its first byte that is not white space.
+// Scans one value at a time, from its first byte that is not white space.
 class JsonValueScanner {
  public:
-  // Objects and arrays within each other.
-  static constexpr std::size_t kMaxDepth = 16;
+  // Maximum number of nested objects and arrays.
+  static constexpr std::size_t kMaxNestingDepth = 16;
 
+  // Result of scanning one byte.
   enum class Result {
     incomplete,
-    complete,         // with this byte
-    complete_before,  // a number, before this byte, which is not part of it
+    complete,         // the value ends with this byte
+    complete_before,  // a number ended before this byte, which is not part of it
     invalid,
     too_deep,
   };
 
-  // After any result but `incomplete`, reset() comes before the next byte.
+  // Processes the next byte. After any result except `incomplete`, reset() must be called before the next
+  // byte.
   Result scan(char byte);
+  // Prepares for a new value.
   void reset();
 
  private:
@@ -41,7 +44,7 @@
     escape,
     hex_digits,
     literal,
-    // Numbers
+    // States within a number.
     minus,
     zero,
     integer,
@@ -56,7 +59,7 @@
   Result scan_structure(char byte);
   Result begin_value(char byte);
   Result begin_container(Container container);
-  Result begin_literal(std::string_view rest);
+  Result begin_literal(std::string_view remaining);
   Result begin_key(char byte);
   Result end_container(char byte);
   Result end_value();
@@ -69,15 +72,15 @@
   Result scan_exponent_start(char byte);
   Result expect_digit(char byte, State next);
   Result end_number(char byte);
-  Result go_on(State next);
+  Result advance_to(State next);
 
   State state_ = State::value;
-  std::array<Container, kMaxDepth> containers_ = {};
+  std::array<Container, kMaxNestingDepth> containers_ = {};
   std::size_t depth_ = 0;
   bool string_is_key_ = false;
-  int hex_digits_left_ = 0;
-  Utf8Checker utf8_;  // of the string
-  std::string_view literal_rest_;
+  int remaining_hex_digits_ = 0;
+  Utf8Checker utf8_;  // of the current string
+  std::string_view remaining_literal_;
 };
 
 }  // namespace woadtide::endpoints
--- a/src/endpoints/list_error.hpp
+++ b/src/endpoints/list_error.hpp
@@ -1,4 +1,4 @@
-// Why a text of service discovery was refused.
+// Errors in the endpoint list that service discovery sends.
 #pragma once
 
 #include <cstddef>
@@ -7,10 +7,11 @@
 
 namespace woadtide::endpoints {
 
+// Kind of error. README.md says what to do about each.
 enum class EndpointListErrorKind {
   not_json,
-  wrong_field,         // missing, of the wrong type or value, or given twice
-  duplicate_endpoint,  // twice in one update, alike or contradictory
+  wrong_field,         // missing, wrong type or value, or given twice
+  duplicate_endpoint,  // a name twice in one update, even if the entries are equal
   too_many_endpoints,
   update_too_large,
   entry_too_large,
@@ -18,11 +19,12 @@
   too_deep,
 };
 
+// An error and where it is.
 struct EndpointListError {
   EndpointListErrorKind kind = EndpointListErrorKind::not_json;
   std::string text;                  // one line for the log
-  std::string field;                 // of `wrong_field`
-  std::optional<std::size_t> entry;  // counted from 1, where it lies in an entry
+  std::string field;                 // for `wrong_field`
+  std::optional<std::size_t> entry;  // number of the entry, from 1, if the error is in one
 };
 
 }  // namespace woadtide::endpoints
--- a/src/endpoints/list_reader.cpp
+++ b/src/endpoints/list_reader.cpp
@@ -14,23 +14,23 @@
 namespace {
 
 constexpr char kSequenceField[] = "seq";
-constexpr char kWholeField[] = "whole";
+constexpr char kSnapshotField[] = "whole";
 constexpr char kEndpointsField[] = "hosts";
 constexpr std::size_t kMaxQuotedBytes = 64;
 
-// As it may stand in one line of the log, whatever bytes it has.
+// Quotes text so that it stays on one line of the log, whatever bytes it contains.
 std::string quoted(const std::string& text) {
   return json(text.substr(0, kMaxQuotedBytes)).dump(-1, ' ', true, json::error_handler_t::replace);
 }
 
-// Not an exception where the text is not JSON: nullopt.
+// Returns nullopt, instead of throwing, if the text is not JSON.
 std::optional<json> parse(const std::string& text) {
   json value = json::parse(text, nullptr, false);
   if (value.is_discarded()) return std::nullopt;
   return value;
 }
 
-std::optional<std::int64_t> sequence_of(const json& value) {
+std::optional<std::int64_t> parse_sequence(const json& value) {
   if (!value.is_number_unsigned()) return std::nullopt;
   const auto sequence = value.get<std::uint64_t>();
   if (sequence > std::uint64_t{std::numeric_limits<std::int64_t>::max()}) return std::nullopt;
@@ -45,7 +45,7 @@
 void EndpointListReader::feed(std::string_view bytes) {
   for (const char byte : bytes) {
     if (error_) return;
-    read(byte);
+    read_byte(byte);
   }
 }
 
@@ -59,10 +59,10 @@
   clear_update();
   error_.reset();
   state_ = State::between_updates;
-  update_on_line_ = false;
+  line_has_update_ = false;
 }
 
-void EndpointListReader::read(char byte) {
+void EndpointListReader::read_byte(char byte) {
   if (state_ == State::between_updates) return read_between_updates(byte);
   update_bytes_ += 1;
   if (update_bytes_ > limits_.max_update_bytes)
@@ -76,7 +76,7 @@
   if (byte == '{') return begin_update();
   if (!is_json_space(byte)) return fail_not_json();
   if (byte != '\n') return;
-  const bool is_empty = !std::exchange(update_on_line_, false);
+  const bool is_empty = !std::exchange(line_has_update_, false);
   if (is_empty) listener_.on_keep_alive();
 }
 
@@ -139,8 +139,8 @@
   token_text_.clear();
   scanner_.reset();
   state_ = State::in_token;
-  if (token == Token::entry) entries_begun_ += 1;
-  if (entries_begun_ > limits_.max_endpoints)
+  if (token == Token::entry) entries_started_ += 1;
+  if (entries_started_ > limits_.max_endpoints)
     return fail_bound(EndpointListErrorKind::too_many_endpoints, "an update", limits_.max_endpoints,
                       "endpoints");
   read_token(byte);
@@ -150,25 +150,25 @@
   using Result = JsonValueScanner::Result;
   switch (scanner_.scan(byte)) {
     case Result::incomplete:
-      keep(byte);
+      append_to_token(byte);
       return;
     case Result::complete:
-      if (keep(byte)) end_token();
+      if (append_to_token(byte)) end_token();
       return;
     case Result::complete_before:
       end_token();
       if (!error_ && !is_json_space(byte)) read_structure(byte);
       return;
     case Result::too_deep:
-      return fail_bound(EndpointListErrorKind::too_deep, "a value", JsonValueScanner::kMaxDepth,
+      return fail_bound(EndpointListErrorKind::too_deep, "a value", JsonValueScanner::kMaxNestingDepth,
                         "levels of nesting");
     case Result::invalid:
       return fail_not_json();
   }
 }
 
-// False where the text is too long.
-bool EndpointListReader::keep(char byte) {
+// Returns false, after reporting the error, if the token is too long.
+bool EndpointListReader::append_to_token(char byte) {
   if (token_ == Token::unknown) return true;
   if (token_text_.size() == limits_.max_entry_bytes) {
     fail_bound(EndpointListErrorKind::entry_too_large, "one entry, key or value", limits_.max_entry_bytes,
@@ -179,7 +179,7 @@
   return true;
 }
 
-// Each of these goes on to the next state where the token is good.
+// Each handler moves to the next state if the token is valid.
 void EndpointListReader::end_token() {
   switch (token_) {
     case Token::key:
@@ -187,7 +187,7 @@
     case Token::sequence:
       return end_sequence();
     case Token::whole:
-      return end_whole();
+      return end_snapshot_flag();
     case Token::entry:
       return end_entry();
     case Token::unknown:
@@ -202,32 +202,32 @@
   member_ = Member::unknown;
   if (*key == kSequenceField) {
     member_ = Member::sequence;
-    mark_read(sequence_read_, kSequenceField);
-  } else if (*key == kWholeField) {
+    mark_member_read(sequence_read_, kSequenceField);
+  } else if (*key == kSnapshotField) {
     member_ = Member::whole;
-    mark_read(whole_read_, kWholeField);
+    mark_member_read(snapshot_flag_read_, kSnapshotField);
   } else if (*key == kEndpointsField) {
     member_ = Member::endpoints;
-    mark_read(endpoints_read_, kEndpointsField);
+    mark_member_read(endpoints_read_, kEndpointsField);
   }
 }
 
-void EndpointListReader::mark_read(bool& read, const char* field) {
+void EndpointListReader::mark_member_read(bool& read, const char* field) {
   if (read) return fail_field(field, "is given twice");
   read = true;
 }
 
 void EndpointListReader::end_sequence() {
   const std::optional<json> value = parse(token_text_);
-  const std::optional<std::int64_t> sequence = value ? sequence_of(*value) : std::nullopt;
+  const std::optional<std::int64_t> sequence = value ? parse_sequence(*value) : std::nullopt;
   if (!sequence) return fail_field(kSequenceField, "must be an integer from 0 to 2^63 - 1");
   update_.sequence = *sequence;
   state_ = State::after_value;
 }
 
-void EndpointListReader::end_whole() {
+void EndpointListReader::end_snapshot_flag() {
   const std::optional<json> value = parse(token_text_);
-  if (!value || !value->is_boolean()) return fail_field(kWholeField, "must be true or false");
+  if (!value || !value->is_boolean()) return fail_field(kSnapshotField, "must be true or false");
   update_.whole = value->get<bool>();
   state_ = State::after_value;
 }
@@ -237,38 +237,38 @@
   if (!value) return fail_not_json();
   try {
     update_.endpoints.push_back(core::decode_endpoint(*value));
-  } catch (const core::EndpointFieldError& wrong) {
-    return fail(EndpointListErrorKind::wrong_field, wrong.what(), wrong.field());
+  } catch (const core::EndpointFieldError& error) {
+    return fail(EndpointListErrorKind::wrong_field, error.what(), error.field());
   }
   const std::string& name = update_.endpoints.back().name();
   if (!names_.insert(name).second)
-    return fail(EndpointListErrorKind::duplicate_endpoint, "endpoint " + quoted(name) + " comes twice");
+    return fail(EndpointListErrorKind::duplicate_endpoint, "endpoint " + quoted(name) + " appears twice");
   state_ = State::after_entry;
 }
 
 void EndpointListReader::end_update() {
   if (!sequence_read_) return fail_field(kSequenceField, "is missing");
-  if (!whole_read_) return fail_field(kWholeField, "is missing");
+  if (!snapshot_flag_read_) return fail_field(kSnapshotField, "is missing");
   if (!endpoints_read_) return fail_field(kEndpointsField, "is missing");
   EndpointUpdate complete = std::move(update_);
   clear_update();
   state_ = State::between_updates;
-  update_on_line_ = true;
+  line_has_update_ = true;
   listener_.on_update(std::move(complete));
 }
 
 void EndpointListReader::clear_update() {
-  names_ = {};  // before the endpoints that its views point into
+  names_ = {};  // cleared before the endpoints that its views point into
   update_ = {};
   update_bytes_ = 0;
-  entries_begun_ = 0;
+  entries_started_ = 0;
   sequence_read_ = false;
-  whole_read_ = false;
+  snapshot_flag_read_ = false;
   endpoints_read_ = false;
 }
 
 void EndpointListReader::fail(EndpointListErrorKind kind, const std::string& text, const std::string& field) {
-  error_ = EndpointListError{kind, "endpoint list: " + position() + text, field, entry_number()};
+  error_ = EndpointListError{kind, "endpoint list: " + error_position() + text, field, entry_number()};
   clear_update();
   listener_.on_error(*error_);
 }
@@ -284,19 +284,19 @@
   fail(EndpointListErrorKind::wrong_field, "'" + field + "' " + problem, field);
 }
 
-void EndpointListReader::fail_bound(EndpointListErrorKind kind, const char* what, std::size_t bound,
+void EndpointListReader::fail_bound(EndpointListErrorKind kind, const char* subject, std::size_t bound,
                                     const char* unit) {
-  fail(kind, std::string(what) + " has more than " + std::to_string(bound) + " " + unit);
+  fail(kind, std::string(subject) + " has more than " + std::to_string(bound) + " " + unit);
 }
 
-std::string EndpointListReader::position() const {
+std::string EndpointListReader::error_position() const {
   const std::optional<std::size_t> entry = entry_number();
   return entry ? "entry " + std::to_string(*entry) + ": " : "";
 }
 
 std::optional<std::size_t> EndpointListReader::entry_number() const {
   if (state_ != State::in_token || token_ != Token::entry) return std::nullopt;
-  return entries_begun_;
+  return entries_started_;
 }
 
 }  // namespace woadtide::endpoints
--- a/src/endpoints/table.hpp
+++ b/src/endpoints/table.hpp
@@ -1,5 +1,6 @@
-// The endpoint list as it is held: updates in, what really differs out. It does not judge sequence numbers,
-// which may go back where discovery begins anew: its owner decides which updates to apply.
+// The current endpoint list. Applying an update returns the actual differences. The table does not check
+// sequence numbers, which may go back when service discovery restarts: its owner decides which updates to
+// apply.
 #pragma once
 
 #include <cstddef>
@@ -15,64 +16,67 @@
 
 namespace woadtide::endpoints {
 
-// The pointers are into the table, and hold until its next apply().
+// An endpoint that changed. The pointer is into the table, and valid until its next apply().
 struct EndpointChange {
   Endpoint before;
   const Endpoint* now;
 };
+// Differences made by an update. The pointers are into the table, and valid until its next apply().
 struct EndpointDelta {
   std::vector<const Endpoint*> added;
-  std::deque<EndpointChange> changed;  // in any field; also one that drains, or has another address
+  std::deque<EndpointChange> changed;  // in any field, including its state and address
   EndpointSequence removed;
 
   bool empty() const { return added.empty() && changed.empty() && removed.empty(); }
 };
 
+// Endpoints by name.
 class EndpointTable {
  private:
-  struct Held {
+  struct TableEntry {
     Endpoint endpoint;
-    std::uint64_t named_by = 0;  // the last update that named it, by number of apply() calls
+    std::uint64_t last_update_number = 0;  // number of the last apply() call whose update named it
   };
-  using Map = std::map<std::string, Held, std::less<>>;
+  using EntryMap = std::map<std::string, TableEntry, std::less<>>;
 
  public:
-  // In order of name.
+  // Iterates in order of name.
   class Iterator {
    public:
-    explicit Iterator(Map::const_iterator at) : at_(at) {}
-    const Endpoint& operator*() const { return at_->second.endpoint; }
+    explicit Iterator(EntryMap::const_iterator iterator) : iterator_(iterator) {}
+    const Endpoint& operator*() const { return iterator_->second.endpoint; }
     Iterator& operator++() {
-      ++at_;
+      ++iterator_;
       return *this;
     }
     bool operator==(const Iterator& other) const = default;
 
    private:
-    Map::const_iterator at_;
+    EntryMap::const_iterator iterator_;
   };
 
-  // A delta costs by its own entries, a snapshot one pass over its entries and one over the table. Throws
-  // std::invalid_argument where an update adds an endpoint and removes it again; the reader lets no endpoint
-  // come twice.
+  // Applies an update. The cost of a delta depends only on its own entries; a snapshot takes one pass over
+  // its entries and one over the table. Throws std::invalid_argument if an update adds an endpoint and
+  // removes it again; the reader rejects such updates, because it allows each name once.
   EndpointDelta apply(EndpointUpdate&& update);
 
+  // Sequence number of the last update.
   std::int64_t sequence() const { return sequence_; }
-  const Endpoint* find(std::string_view name) const;  // nullptr where it is not listed
+  const Endpoint* find(std::string_view name) const;  // nullptr if it is not listed
   std::size_t size() const { return endpoints_.size(); }
   bool empty() const { return endpoints_.empty(); }
   Iterator begin() const { return Iterator(endpoints_.begin()); }
   Iterator end() const { return Iterator(endpoints_.end()); }
 
-  // Held entries that apply() has looked up, put in or passed over, in all. For tests of its cost.
+  // Total number of entries that apply() has looked up, inserted or skipped. For tests of its cost.
   std::uint64_t entries_visited() const { return entries_visited_; }
 
  private:
-  void put(Endpoint&& endpoint, EndpointDelta& delta);
+  void insert_or_update(Endpoint&& endpoint, EndpointDelta& delta);
   void remove(const std::string& name, EndpointDelta& delta);
   void remove_unnamed(EndpointDelta& delta);
 
-  Map endpoints_;
+  EntryMap endpoints_;
   std::int64_t sequence_ = 0;
   std::uint64_t updates_applied_ = 0;
   std::uint64_t entries_visited_ = 0;
--- a/src/endpoints/update.hpp
+++ b/src/endpoints/update.hpp
@@ -1,5 +1,5 @@
-// One update of the endpoint list, as service discovery writes it: the whole list (a snapshot), or what has
-// changed since the last update (a delta).
+// An update of the endpoint list, as service discovery sends it: the whole list (a snapshot), or the changes
+// since the last update (a delta).
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,14 @@
 
 using core::Endpoint;
 
-// A deque, because a vector holds up to three times its content while it grows.
+// A deque, because a vector takes up to three times the size of its content while it grows.
 using EndpointSequence = std::deque<Endpoint>;
 
+// `whole`: a snapshot instead of a delta.
 struct EndpointUpdate {
   std::int64_t sequence = 0;
   bool whole = false;
-  EndpointSequence endpoints;  // names are unique; `gone` only means something in a delta
+  EndpointSequence endpoints;  // names are unique; state `gone` is only meaningful in a delta
 };
 
 }  // namespace woadtide::endpoints
--- a/src/endpoints/utf8_checker.hpp
+++ b/src/endpoints/utf8_checker.hpp
@@ -1,22 +1,23 @@
-// Checks byte by byte that a text is well-formed UTF-8 (Unicode, table 3-7).
+// Incremental check that a text is well-formed UTF-8 (Unicode Standard, table 3-7).
 #pragma once
 
 namespace woadtide::endpoints {
 
+// Checks one text at a time.
 class Utf8Checker {
  public:
-  // False where the byte cannot come here; reset() comes before the next text.
+  // Returns false if the byte is not allowed here; reset() must be called before the next text.
   bool accept(char byte);
-  void reset() { continuations_left_ = 0; }
+  void reset() { remaining_continuations_ = 0; }
 
  private:
   bool begin_character(unsigned char byte);
-  bool expect(int continuations, unsigned char first_least, unsigned char first_most);
+  bool expect_continuations(int continuations, unsigned char min_next, unsigned char max_next);
 
-  int continuations_left_ = 0;
-  // The next continuation byte lies between these.
-  unsigned char least_ = 0;
-  unsigned char most_ = 0;
+  int remaining_continuations_ = 0;
+  // Range of the next continuation byte.
+  unsigned char min_next_ = 0;
+  unsigned char max_next_ = 0;
 };
 
 }  // namespace woadtide::endpoints
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -79,7 +79,7 @@
   const std::size_t link_memory_bytes = usable_bytes - std::min(usable_bytes, kProgramBytes);
   // Of the 15 % of memory kept free beyond that, the endpoint list may take half at its peak.
   const std::size_t reserved_bytes = memory_mb * 1'000'000 / processes - usable_bytes;
-  list = endpoints::endpoint_limits(reserved_bytes / 2 * endpoints::kMemoryShare);
+  list = endpoints::endpoint_limits(reserved_bytes / 2 * endpoints::kMemoryShareDivisor);
   // Most queries take one buffer. One buffer per link gives about one and a half per client link, so links
   // take precedence over further buffers.
   const std::size_t links_by_memory = link_memory_bytes / (kLinkBytes + net::kBufferBytes);
--- a/tests/allocation_counter.cpp
+++ b/tests/allocation_counter.cpp
@@ -10,24 +10,24 @@
 namespace woadtide::testing {
 namespace {
 
-constexpr std::size_t kBlockHeader = sizeof(std::size_t);  // of glibc's malloc
-std::atomic<std::size_t> held_bytes = 0;
+constexpr std::size_t kBlockHeaderBytes = sizeof(std::size_t);  // per block, of glibc's malloc
+std::atomic<std::size_t> allocated_bytes = 0;
 std::atomic<std::size_t> peak_bytes = 0;
 std::atomic<std::size_t> allocation_count = 0;
 
-std::size_t size_of_block(void* block) { return malloc_usable_size(block) + kBlockHeader; }
+std::size_t size_of_block(void* block) { return malloc_usable_size(block) + kBlockHeaderBytes; }
 
-// A race of two threads may miss a peak; these tests have one.
+// Two threads at once could miss a peak; these tests have only one thread.
 void count_allocation(void* block) {
   allocation_count += 1;
-  held_bytes += size_of_block(block);
-  peak_bytes = std::max(peak_bytes.load(), held_bytes.load());
+  allocated_bytes += size_of_block(block);
+  peak_bytes = std::max(peak_bytes.load(), allocated_bytes.load());
 }
 
 }  // namespace
 
-HeapUse heap_use() { return {held_bytes, peak_bytes, allocation_count}; }
-void reset_heap_peak() { peak_bytes = held_bytes.load(); }
+HeapUsage heap_usage() { return {allocated_bytes, peak_bytes, allocation_count}; }
+void reset_heap_peak() { peak_bytes = allocated_bytes.load(); }
 
 }  // namespace woadtide::testing
 
@@ -40,7 +40,7 @@
 
 void operator delete(void* block) noexcept {
   if (block == nullptr) return;
-  woadtide::testing::held_bytes -= woadtide::testing::size_of_block(block);
+  woadtide::testing::allocated_bytes -= woadtide::testing::size_of_block(block);
   std::free(block);
 }
 
--- a/tests/endpoint_table_test.cpp
+++ b/tests/endpoint_table_test.cpp
@@ -1,4 +1,4 @@
-// The table of endpoints: what an update changes, and what it costs.
+// Tests of the endpoint table: what an update changes, and what it costs.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -16,7 +16,7 @@
   return table;
 }
 
-EndpointUpdate change_of(Endpoint endpoint, std::int64_t sequence = 2) {
+EndpointUpdate delta_with(Endpoint endpoint, std::int64_t sequence = 2) {
   return {sequence, false, {std::move(endpoint)}};
 }
 
@@ -26,7 +26,7 @@
   return names;
 }
 
-TEST_CASE("a first snapshot adds all, the same again changes nothing") {
+TEST_CASE("a first snapshot adds all endpoints, the same snapshot again changes nothing") {
   EndpointTable table;
   CHECK(table.empty());
   const EndpointDelta first = table.apply(update_of(5, true, 100));
@@ -42,9 +42,9 @@
   CHECK(table.find("nobody") == nullptr);
 }
 
-TEST_CASE("a snapshot gives what really differs") {
+TEST_CASE("the delta of a snapshot contains only actual differences") {
   EndpointTable table = table_of(100);
-  EndpointUpdate snapshot = update_of(2, true, 100, 2);  // 0 and 1 have gone, 100 and 101 have come
+  EndpointUpdate snapshot = update_of(2, true, 100, 2);  // without 0 and 1, with 100 and 101
   snapshot.endpoints[0].entry.state = WorkerState::draining;
   const EndpointDelta delta = table.apply(std::move(snapshot));
   CHECK(names_of(delta.added) ==
@@ -56,7 +56,7 @@
   CHECK(table.size() == 100);
 }
 
-TEST_CASE("a snapshot of a tenth removes the rest, and one without entries all") {
+TEST_CASE("a snapshot of a tenth of the list removes the others, and an empty snapshot removes all") {
   EndpointTable table = table_of(3'200);
   const EndpointDelta delta = table.apply(update_of(2, true, 320));
   CHECK(delta.removed.size() == 2'880);
@@ -67,7 +67,7 @@
   CHECK(table.empty());
 }
 
-TEST_CASE("an endpoint that a snapshot calls gone is not listed") {
+TEST_CASE("an endpoint with state gone in a snapshot is not listed") {
   EndpointTable table = table_of(2);
   EndpointUpdate snapshot = update_of(2, true, 3);
   for (Endpoint& endpoint : snapshot.endpoints) endpoint.entry.state = WorkerState::gone;
@@ -77,63 +77,63 @@
   CHECK(table.empty());
 }
 
-TEST_CASE("each field that differs is a change, also the address") {
-  std::vector<Endpoint> others(7, endpoint_numbered(1));
-  others[0].dial = "10.9.9.9:8000";
-  others[1].entry.zone = "z";
-  others[2].entry.kind = "m9";
-  others[3].entry.cell = 99;
-  others[4].entry.state = WorkerState::draining;
-  others[5].entry.weight = 0.5;
-  others[6].entry.started = std::chrono::milliseconds(kBornMs);
-  for (const Endpoint& other : others) {
+TEST_CASE("a difference in any field is a change, including the address") {
+  std::vector<Endpoint> modified_endpoints(7, endpoint_numbered(1));
+  modified_endpoints[0].dial = "10.9.9.9:8000";
+  modified_endpoints[1].entry.zone = "z";
+  modified_endpoints[2].entry.kind = "m9";
+  modified_endpoints[3].entry.cell = 99;
+  modified_endpoints[4].entry.state = WorkerState::draining;
+  modified_endpoints[5].entry.weight = 0.5;
+  modified_endpoints[6].entry.started = std::chrono::milliseconds(kStartedAtMs);
+  for (const Endpoint& modified : modified_endpoints) {
     EndpointTable table = table_of(3);
-    const EndpointDelta delta = table.apply(change_of(other));
+    const EndpointDelta delta = table.apply(delta_with(modified));
     REQUIRE(delta.changed.size() == 1);
     CHECK(delta.changed[0].before == endpoint_numbered(1));
-    CHECK(*delta.changed[0].now == other);
-    CHECK(*table.find(other.name()) == other);
-    CHECK(table.apply(change_of(other, 3)).empty());
+    CHECK(*delta.changed[0].now == modified);
+    CHECK(*table.find(modified.name()) == modified);
+    CHECK(table.apply(delta_with(modified, 3)).empty());
   }
 }
 
-TEST_CASE("a delta adds, and removes what has gone, where it is there") {
+TEST_CASE("a delta adds endpoints, and removes those with state gone if they are listed") {
   EndpointTable table = table_of(3);
-  CHECK(names_of(table.apply(change_of(endpoint_numbered(3))).added) ==
+  CHECK(names_of(table.apply(delta_with(endpoint_numbered(3))).added) ==
         std::vector<std::string>{endpoint_numbered(3).name()});
   Endpoint gone = endpoint_numbered(1);
   gone.entry.state = WorkerState::gone;
-  const EndpointDelta delta = table.apply(change_of(gone));
+  const EndpointDelta delta = table.apply(delta_with(gone));
   CHECK(delta.removed == EndpointSequence{endpoint_numbered(1)});
   CHECK(table.find(gone.name()) == nullptr);
-  CHECK(table.apply(change_of(gone)).empty());
+  CHECK(table.apply(delta_with(gone)).empty());
   CHECK(table.size() == 3);
 }
 
-TEST_CASE("an update that adds an endpoint and removes it again is a fault of the caller") {
+TEST_CASE("an update that adds an endpoint and removes it again is rejected as an error of the caller") {
   EndpointTable table = table_of(3);
-  EndpointUpdate update = change_of(endpoint_numbered(9));
+  EndpointUpdate update = delta_with(endpoint_numbered(9));
   update.endpoints.push_back(endpoint_numbered(9));
   update.endpoints.back().entry.state = WorkerState::gone;
   CHECK_THROWS_AS(table.apply(std::move(update)), std::invalid_argument);
 }
 
-TEST_CASE("a change costs the same at any size, a snapshot one pass over both") {
+TEST_CASE("a change costs the same at any table size, a snapshot one pass over both lists") {
   std::size_t allocations_at_100 = 0;
   for (const int count : {100, 1'000, 3'200, 10'000}) {
     CAPTURE(count);
     EndpointTable table = table_of(count);
-    Endpoint other = endpoint_numbered(50);
-    other.dial = "10.9.9.9:8000";
-    EndpointUpdate change = change_of(other);
+    Endpoint modified = endpoint_numbered(50);
+    modified.dial = "10.9.9.9:8000";
+    EndpointUpdate change = delta_with(modified);
     std::uint64_t visited = table.entries_visited();
-    const std::size_t allocations = testing::heap_use().allocations;
+    const std::size_t allocations = testing::heap_usage().allocations;
     const EndpointDelta delta = table.apply(std::move(change));
-    const std::size_t allocations_here = testing::heap_use().allocations - allocations;
+    const std::size_t allocations_of_change = testing::heap_usage().allocations - allocations;
     CHECK(delta.changed.size() == 1);
     CHECK(table.entries_visited() - visited == 1);
-    if (count == 100) allocations_at_100 = allocations_here;
-    CHECK(allocations_here == allocations_at_100);  // nothing is copied
+    if (count == 100) allocations_at_100 = allocations_of_change;
+    CHECK(allocations_of_change == allocations_at_100);  // nothing is copied
 
     visited = table.entries_visited();
     table.apply(update_of(3, true, count));
@@ -141,13 +141,13 @@
   }
 }
 
-TEST_CASE("any updates leave what a plain map would hold, and the deltas tell how it came there") {
+TEST_CASE("after any updates the table equals a plain map, and the deltas describe every change") {
   CHECK(rc::check([] {
     pcg32 random(*rc::gen::arbitrary<std::uint32_t>());
     const int updates = *rc::gen::inRange(1, 12);
     EndpointTable table;
     std::map<std::string, Endpoint> expected;
-    std::map<std::string, Endpoint> by_deltas;
+    std::map<std::string, Endpoint> rebuilt_from_deltas;
     for (int sequence = 1; sequence <= updates; ++sequence) {
       EndpointUpdate update{sequence, random(3) == 0, {}};
       for (int number = 0; number < 8; ++number) {
@@ -162,15 +162,16 @@
         if (endpoint.entry.state != WorkerState::gone) expected.emplace(endpoint.name(), endpoint);
       }
       const EndpointDelta delta = table.apply(std::move(update));
-      for (const Endpoint& endpoint : delta.removed) RC_ASSERT(by_deltas.erase(endpoint.name()) == 1u);
+      for (const Endpoint& endpoint : delta.removed)
+        RC_ASSERT(rebuilt_from_deltas.erase(endpoint.name()) == 1u);
       for (const Endpoint* endpoint : delta.added)
-        RC_ASSERT(by_deltas.emplace(endpoint->name(), *endpoint).second);
+        RC_ASSERT(rebuilt_from_deltas.emplace(endpoint->name(), *endpoint).second);
       for (const EndpointChange& change : delta.changed) {
-        RC_ASSERT(by_deltas.at(change.now->name()) == change.before);
+        RC_ASSERT(rebuilt_from_deltas.at(change.now->name()) == change.before);
         RC_ASSERT(!(change.before == *change.now));
-        by_deltas[change.now->name()] = *change.now;
+        rebuilt_from_deltas[change.now->name()] = *change.now;
       }
-      RC_ASSERT(by_deltas == expected);
+      RC_ASSERT(rebuilt_from_deltas == expected);
       auto at = expected.begin();
       for (const Endpoint& endpoint : table) RC_ASSERT(endpoint == (at++)->second);
       RC_ASSERT(at == expected.end());
--- a/tests/endpoints_harness.hpp
+++ b/tests/endpoints_harness.hpp
@@ -1,5 +1,5 @@
-// Made-up endpoint lists, their text as discovery may write it, and a listener that records what is read of
-// it.
+// Helpers for tests of endpoint lists: generated lists, their text as service discovery may send it, and a
+// listener that records the events of a reader.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,11 @@
 
 namespace woadtide::endpoints {
 
-constexpr EndpointLimits kAmpleLimits{20'000, 20'000'000, kMaxEntryBytes};
+constexpr EndpointLimits kLargeLimits{20'000, 20'000'000, kMaxEntryBytes};
 constexpr int kCompact = -1;
-constexpr std::int64_t kBornMs = 1'764'000'000'000;
+constexpr std::int64_t kStartedAtMs = 1'764'000'000'000;
 
-// Distinct for each number, and typical in length.
+// Endpoint with a name that is unique for each number, and of typical length.
 inline Endpoint endpoint_numbered(int number) {
   char name[16];
   std::snprintf(name, sizeof name, "s-%08x", 0x10000000u + static_cast<unsigned>(number));
@@ -54,7 +54,7 @@
   return {{"seq", update.sequence}, {"whole", update.whole}, {"hosts", std::move(entries)}};
 }
 
-// As discovery writes it, with the line's end.
+// Text of the update as service discovery sends it, including the line end.
 inline std::string text_of(const EndpointUpdate& update, int indent = kCompact) {
   return json_of(update).dump(indent) + "\n";
 }
@@ -63,7 +63,7 @@
   return left.sequence == right.sequence && left.whole == right.whole && left.endpoints == right.endpoints;
 }
 
-// What was heard, in its order.
+// An event of the reader.
 struct Event {
   enum class Kind { keep_alive, update, error };
   Kind kind;
@@ -89,9 +89,9 @@
   std::vector<Event> events;
 };
 
-// All events of a whole body that comes in pieces of `piece_bytes`.
+// All events of a complete body that arrives in pieces of `piece_bytes`.
 inline std::vector<Event> read_in_pieces(std::string_view text, std::size_t piece_bytes,
-                                         const EndpointLimits& limits = kAmpleLimits) {
+                                         const EndpointLimits& limits = kLargeLimits) {
   Recorder recorder;
   EndpointListReader reader(limits, recorder);
   for (std::size_t at = 0; at < text.size(); at += piece_bytes) reader.feed(text.substr(at, piece_bytes));
@@ -99,7 +99,8 @@
   return recorder.events;
 }
 
-inline std::vector<Event> read_at_once(std::string_view text, const EndpointLimits& limits = kAmpleLimits) {
+inline std::vector<Event> read_in_one_piece(std::string_view text,
+                                            const EndpointLimits& limits = kLargeLimits) {
   return read_in_pieces(text, std::max<std::size_t>(text.size(), 1), limits);
 }
 
--- a/tests/endpoints_test.cpp
+++ b/tests/endpoints_test.cpp
@@ -1,4 +1,5 @@
-// The reader of endpoint lists: every size, layout and cutting of a good body, and every way to be a bad one.
+// Tests of the endpoint list reader: sizes, layouts and splits of valid bodies, and all kinds of invalid
+// ones.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "endpoints/endpoints.hpp"
 
@@ -21,18 +22,18 @@
   return R"({"seq":7,"whole":true,"hosts":[)" + entries + "]}\n";
 }
 
-// The update that is the only event of a text.
+// Reads a text whose only event is an update.
 EndpointUpdate only_update(std::string_view text) {
-  const std::vector<Event> events = read_at_once(text);
+  const std::vector<Event> events = read_in_one_piece(text);
   REQUIRE(events.size() == 1);
   CAPTURE(events[0].error.text);
   REQUIRE(events[0].kind == Event::Kind::update);
   return events[0].update;
 }
 
-// The error that is the only event of a text, in whatever pieces it comes.
-EndpointListError only_error(std::string_view text, const EndpointLimits& limits = kAmpleLimits) {
-  const std::vector<Event> events = read_at_once(text, limits);
+// Reads a text whose only event is an error, also when it arrives byte by byte.
+EndpointListError only_error(std::string_view text, const EndpointLimits& limits = kLargeLimits) {
+  const std::vector<Event> events = read_in_one_piece(text, limits);
   REQUIRE(events.size() == 1);
   REQUIRE(events[0].kind == Event::Kind::error);
   CHECK(read_in_pieces(text, 1, limits) == events);
@@ -42,7 +43,7 @@
 }
 
 void check_error(std::string_view text, ErrorKind kind, std::string_view part_of_text,
-                 const EndpointLimits& limits = kAmpleLimits) {
+                 const EndpointLimits& limits = kLargeLimits) {
   CAPTURE(text.substr(0, 300));
   const EndpointListError error = only_error(text, limits);
   CAPTURE(error.text);
@@ -66,7 +67,7 @@
          std::string(static_cast<std::size_t>(arrays), ']');
 }
 
-TEST_CASE("large lists are read alike in every layout and cutting") {
+TEST_CASE("large lists are read equally in every layout and split") {
   for (const int count : {3'200, 10'000}) {
     const EndpointUpdate update = update_of(43, true, count);
     for (const int indent : {kCompact, 1, 4}) {
@@ -84,7 +85,7 @@
   }
 }
 
-TEST_CASE("the whole list is followed by changes, of which one line may hold a thousand") {
+TEST_CASE("a snapshot is followed by deltas, one of which may hold a thousand entries") {
   const EndpointUpdate whole = update_of(1, true, 3'200);
   EndpointUpdate drains = update_of(2, false, 1);
   drains.endpoints[0].entry.state = WorkerState::draining;
@@ -94,36 +95,36 @@
   const std::vector<Event> expected = {{Event::Kind::update, whole},  {Event::Kind::keep_alive},
                                        {Event::Kind::update, drains}, {Event::Kind::update, leaves},
                                        {Event::Kind::keep_alive},     {Event::Kind::keep_alive}};
-  CHECK(read_at_once(body) == expected);
+  CHECK(read_in_one_piece(body) == expected);
   CHECK(read_in_pieces(body, 997) == expected);
 }
 
-TEST_CASE("an update is given out at its closing brace, and no earlier") {
+TEST_CASE("an update is delivered at its closing brace, and no earlier") {
   const std::string text = update_with(kEntry);
   Recorder recorder;
-  EndpointListReader reader(kAmpleLimits, recorder);
+  EndpointListReader reader(kLargeLimits, recorder);
   reader.feed(std::string_view(text).substr(0, text.size() - 2));
   CHECK(recorder.events.empty());
   reader.feed("}");
   CHECK(recorder.events.size() == 1);
 }
 
-TEST_CASE("an empty line is a keep-alive between updates, and white space within one") {
-  CHECK(read_at_once("\n").size() == 1);
-  CHECK(read_at_once("\r\n \t\n").size() == 2);
-  CHECK(read_at_once("  ").empty());
+TEST_CASE("an empty line is a keep-alive between updates, and white space within an update") {
+  CHECK(read_in_one_piece("\n").size() == 1);
+  CHECK(read_in_one_piece("\r\n \t\n").size() == 2);
+  CHECK(read_in_one_piece("  ").empty());
   const std::string plain = update_with(R"({"host":"a","dial":"b","health":"Ready"})");
   std::string spread = plain;
   for (std::size_t at = spread.size() - 1; at > 0; --at)
     if (std::string_view("{}[],:").find(spread[at]) != std::string_view::npos) spread.insert(at, "\n\n");
-  const std::vector<Event> events = read_at_once(spread + "\n" + update_with(""));
+  const std::vector<Event> events = read_in_one_piece(spread + "\n" + update_with(""));
   REQUIRE(events.size() == 3);
   CHECK(events[0].update == only_update(plain));
   CHECK(events[1].kind == Event::Kind::keep_alive);
   CHECK(events[2].update.endpoints.empty());
 }
 
-TEST_CASE("keys may come in any order, and unknown ones hold anything") {
+TEST_CASE("keys may come in any order, and unknown keys may have any value") {
   const EndpointUpdate expected = only_update(update_with(kEntry));
   const std::string hosts = std::string(R"("hosts":[)") + kEntry + "]";
   const std::vector<std::string> texts = {
@@ -149,7 +150,7 @@
   CHECK(update.endpoints[1].name() == "s-1");
 }
 
-TEST_CASE("what is not JSON is refused where it stops to be it") {
+TEST_CASE("invalid JSON is rejected at the first invalid byte") {
   const std::vector<std::string> texts = {
       "hello\n",
       "[1]\n",
@@ -186,24 +187,25 @@
       update_with("{\"host\":\"\xff\"}"),
   };
   for (const std::string& text : texts) check_error(text, ErrorKind::not_json, "not JSON");
-  const std::vector<Event> events = read_at_once(update_with(kEntry) + "}");
+  const std::vector<Event> events = read_in_one_piece(update_with(kEntry) + "}");
   REQUIRE(events.size() == 2);
   CHECK(events[1].error.kind == ErrorKind::not_json);
 }
 
-TEST_CASE("strings are UTF-8, also those that are passed over") {
+TEST_CASE("strings must be UTF-8, also those that are ignored") {
   const auto member = [](std::string_view bytes) {
     return "{\"x\":\"" + std::string(bytes) + R"(","seq":1,"whole":true,"hosts":[]})";
   };
-  for (const char* good : {"\x7f", "\xc2\x80", "\xdf\xbf", "\xe0\xa0\x80", "\xed\x9f\xbf", "\xee\x80\x80",
-                           "\xf0\x90\x80\x80", "\xf3\xbf\xbf\xbf", "\xf4\x8f\xbf\xbf"})
-    CHECK(only_update(member(good)).sequence == 1);
-  for (const char* bad : {"\x80", "\xc1\xbf", "\xc2", "\xc2\xc0", "\xe0\x9f\xbf", "\xe1\x80", "\xed\xa0\x80",
-                          "\xf0\x8f\xbf\xbf", "\xf1\x80\x80", "\xf4\x90\x80\x80", "\xf5\x80\x80\x80", "\xff"})
-    check_error(member(bad), ErrorKind::not_json, "not JSON");
+  for (const char* valid : {"\x7f", "\xc2\x80", "\xdf\xbf", "\xe0\xa0\x80", "\xed\x9f\xbf", "\xee\x80\x80",
+                            "\xf0\x90\x80\x80", "\xf3\xbf\xbf\xbf", "\xf4\x8f\xbf\xbf"})
+    CHECK(only_update(member(valid)).sequence == 1);
+  for (const char* invalid :
+       {"\x80", "\xc1\xbf", "\xc2", "\xc2\xc0", "\xe0\x9f\xbf", "\xe1\x80", "\xed\xa0\x80",
+        "\xf0\x8f\xbf\xbf", "\xf1\x80\x80", "\xf4\x90\x80\x80", "\xf5\x80\x80\x80", "\xff"})
+    check_error(member(invalid), ErrorKind::not_json, "not JSON");
 }
 
-TEST_CASE("a missing or wrong field is named, with the number of its entry") {
+TEST_CASE("the error for a missing or wrong field names the field and the number of its entry") {
   check_wrong_field("{}", "seq", std::nullopt);
   check_wrong_field(R"({"whole":true,"hosts":[]})", "seq", std::nullopt);
   check_wrong_field(R"({"seq":1,"hosts":[]})", "whole", std::nullopt);
@@ -241,34 +243,34 @@
   check_wrong_field(second(R"({"host":"a","dial":"a:1","health":"Ready","block":1e300})"), "block", 2);
 }
 
-TEST_CASE("an endpoint that comes twice in one update is refused, alike or contradictory") {
+TEST_CASE("a name that appears twice in one update is rejected, whether the entries are equal or not") {
   const std::string other = R"({"host":"s-1","dial":"10.0.0.2:80","health":"Terminating"})";
   const std::string third = R"({"host":"s-2","dial":"10.0.0.2:80","health":"Ready"})";
   for (const std::string& again : {std::string(kEntry), other}) {
     const std::string text = update_with(std::string(kEntry) + "," + third + "," + again);
-    check_error(text, ErrorKind::duplicate_endpoint, "entry 3: endpoint \"s-1\" comes twice");
+    check_error(text, ErrorKind::duplicate_endpoint, "entry 3: endpoint \"s-1\" appears twice");
     CHECK(only_error(text).entry == 3);
   }
-  // In two updates it may.
-  CHECK(read_at_once(update_with(kEntry) + update_with(other)).size() == 2);
-  // Its name cannot break the line of the log.
+  // A name may appear in two updates.
+  CHECK(read_in_one_piece(update_with(kEntry) + update_with(other)).size() == 2);
+  // A line break in the name does not break the log line.
   check_error(
       update_with(R"({"host":"a\nb","dial":"","health":"Ready"},{"host":"a\nb","dial":"","health":"Ready"})"),
       ErrorKind::duplicate_endpoint, R"("a\nb")");
 }
 
-TEST_CASE("each bound is kept, and said with its value") {
+TEST_CASE("each limit is enforced, and the error states its value") {
   const std::string two = text_of(update_of(1, true, 2));
   const std::string three = text_of(update_of(1, true, 3));
-  EndpointLimits limits = kAmpleLimits;
+  EndpointLimits limits = kLargeLimits;
   SUBCASE("endpoints") {
     limits.max_endpoints = 2;
-    CHECK(read_at_once(two, limits)[0].kind == Event::Kind::update);
+    CHECK(read_in_one_piece(two, limits)[0].kind == Event::Kind::update);
     check_error(three, ErrorKind::too_many_endpoints, "more than 2 endpoints", limits);
   }
-  SUBCASE("bytes of an update, of each by itself") {
-    limits.max_update_bytes = three.size() - 1;  // the line's end is no part of it
-    const std::vector<Event> events = read_at_once("  \n" + three + three, limits);
+  SUBCASE("bytes of an update, counted for each update") {
+    limits.max_update_bytes = three.size() - 1;  // the line end is not part of the update
+    const std::vector<Event> events = read_in_one_piece("  \n" + three + three, limits);
     REQUIRE(events.size() == 3);
     CHECK(events[2].kind == Event::Kind::update);
     std::string larger = three;
@@ -278,7 +280,7 @@
   }
   SUBCASE("bytes of an entry, a key and a number") {
     limits.max_entry_bytes = sizeof kEntry - 1;
-    CHECK(read_at_once(update_with(kEntry), limits)[0].kind == Event::Kind::update);
+    CHECK(read_in_one_piece(update_with(kEntry), limits)[0].kind == Event::Kind::update);
     std::string larger = kEntry;
     larger.insert(1, " ");
     check_error(
@@ -288,7 +290,7 @@
     const std::string digits(sizeof kEntry, '1');
     check_error(R"({"seq":)" + digits, ErrorKind::entry_too_large, "key or value", limits);
     check_error("{\"" + digits + "\":1}", ErrorKind::entry_too_large, "key or value", limits);
-    CHECK(read_at_once(R"({"x":)" + digits + R"(,"seq":1,"whole":true,"hosts":[]})", limits)[0].kind ==
+    CHECK(read_in_one_piece(R"({"x":)" + digits + R"(,"seq":1,"whole":true,"hosts":[]})", limits)[0].kind ==
           Event::Kind::update);
   }
   SUBCASE("levels of nesting, in an unknown member and in an entry") {
@@ -298,32 +300,32 @@
     const auto entry = [](int arrays) {
       return update_with(R"({"x":)" + nested(arrays) + R"(,"host":"a","dial":"a:1","health":"Ready"})");
     };
-    constexpr int kDepth = JsonValueScanner::kMaxDepth;
-    CHECK(only_update(member(kDepth)).sequence == 1);
-    check_error(member(kDepth + 1), ErrorKind::too_deep, "more than 16 levels");
+    constexpr int kMaxDepth = JsonValueScanner::kMaxNestingDepth;
+    CHECK(only_update(member(kMaxDepth)).sequence == 1);
+    check_error(member(kMaxDepth + 1), ErrorKind::too_deep, "more than 16 levels");
     check_error(member(100'000), ErrorKind::too_deep, "more than 16 levels");
-    CHECK(only_update(entry(kDepth - 1)).endpoints.size() == 1);
-    check_error(entry(kDepth), ErrorKind::too_deep, "entry 1: ");
+    CHECK(only_update(entry(kMaxDepth - 1)).endpoints.size() == 1);
+    check_error(entry(kMaxDepth), ErrorKind::too_deep, "entry 1: ");
   }
 }
 
-TEST_CASE("a body that ends within an update is refused, wherever that is") {
+TEST_CASE("a body that ends anywhere within an update is rejected") {
   const std::string text = text_of(update_of(1, true, 2), 1);
   const std::size_t closing = text.size() - 2;
   for (std::size_t length = 1; length <= closing; ++length) {
-    const std::vector<Event> events = read_at_once(std::string_view(text).substr(0, length));
+    const std::vector<Event> events = read_in_one_piece(std::string_view(text).substr(0, length));
     CAPTURE(length);
     REQUIRE(events.size() == 1);
     CHECK(events[0].error.kind == ErrorKind::truncated);
     CHECK(events[0].error.text.find(std::to_string(length) + " bytes") != std::string::npos);
   }
-  CHECK(read_at_once(std::string_view(text).substr(0, closing + 1))[0].kind == Event::Kind::update);
-  CHECK(read_at_once("").empty());
+  CHECK(read_in_one_piece(std::string_view(text).substr(0, closing + 1))[0].kind == Event::Kind::update);
+  CHECK(read_in_one_piece("").empty());
 }
 
-TEST_CASE("after an error all bytes are refused until a reset, which forgets the unfinished update") {
+TEST_CASE("after an error all bytes are ignored until a reset, which discards the unfinished update") {
   Recorder recorder;
-  EndpointListReader reader(kAmpleLimits, recorder);
+  EndpointListReader reader(kLargeLimits, recorder);
   reader.feed(R"({"seq":1,"hosts":[{"host":1}]})" + update_with(kEntry) + "\n");
   reader.feed(update_with(kEntry));
   reader.finish();
@@ -340,9 +342,9 @@
   CHECK(!reader.error().has_value());
 }
 
-TEST_CASE("a body's first line may be empty also after a body that ended without a line's end") {
+TEST_CASE("an empty first line is a keep-alive also after a body that ended without a line end") {
   Recorder recorder;
-  EndpointListReader reader(kAmpleLimits, recorder);
+  EndpointListReader reader(kLargeLimits, recorder);
   reader.feed(R"({"seq":1,"whole":true,"hosts":[]})");
   reader.reset();
   reader.feed("\n");
@@ -350,12 +352,12 @@
   CHECK(recorder.events[1].kind == Event::Kind::keep_alive);
 }
 
-TEST_CASE("limits follow from the memory available") {
+TEST_CASE("limits are derived from the available memory") {
   constexpr std::size_t kMegabyte = 1024 * 1024;
   CHECK(endpoint_limits(0).max_endpoints == kMinEndpoints);
   for (const std::size_t megabytes : {8, 24, 160}) {
     const EndpointLimits limits = endpoint_limits(megabytes * kMegabyte);
-    CHECK(limits.max_endpoints == megabytes * kMegabyte / (kMemoryShare * kPeakBytesPerEndpoint));
+    CHECK(limits.max_endpoints == megabytes * kMegabyte / (kMemoryShareDivisor * kPeakBytesPerEndpoint));
     CHECK(limits.max_update_bytes == limits.max_endpoints * kMaxTextBytesPerEndpoint);
     CHECK(limits.max_entry_bytes == kMaxEntryBytes);
   }
@@ -370,13 +372,13 @@
     endpoint.entry.state = static_cast<WorkerState>(random(3));
     endpoint.entry.zone = std::string(random(4), "{}[]\",\\\n: "[random(10)]);
     endpoint.entry.weight = random(8) / 4.0;
-    if (random(2) == 0) endpoint.entry.started = std::chrono::milliseconds(kBornMs + random(1'000));
+    if (random(2) == 0) endpoint.entry.started = std::chrono::milliseconds(kStartedAtMs + random(1'000));
     update.endpoints.push_back(std::move(endpoint));
   }
   return update;
 }
 
-// Its members in any order, among unknown ones, and indented anyhow.
+// Text of the update with its members in random order, an unknown member, and random indentation.
 std::string random_text_of(const EndpointUpdate& update, pcg32& random) {
   const nlohmann::ordered_json object = json_of(update);
   std::vector<std::string> keys = {"seq", "whole", "hosts", "extra"};
@@ -388,7 +390,7 @@
   return shuffled.dump(static_cast<int>(random(4)) - 1) + "\n";
 }
 
-TEST_CASE("any cutting of any valid body gives the same events") {
+TEST_CASE("any split of any valid body gives the same events") {
   CHECK(rc::check([] {
     pcg32 random(*rc::gen::arbitrary<std::uint32_t>());
     const auto piece_sizes = *rc::gen::nonEmpty(
@@ -404,23 +406,23 @@
       expected.push_back({Event::Kind::keep_alive});
     }
     Recorder recorder;
-    EndpointListReader reader(kAmpleLimits, recorder);
-    std::string_view rest = body;
-    for (std::size_t piece = 0; !rest.empty(); ++piece) {
-      const std::size_t size = std::min(rest.size(), piece_sizes[piece % piece_sizes.size()]);
-      reader.feed(rest.substr(0, size));
-      rest.remove_prefix(size);
+    EndpointListReader reader(kLargeLimits, recorder);
+    std::string_view remaining = body;
+    for (std::size_t piece = 0; !remaining.empty(); ++piece) {
+      const std::size_t size = std::min(remaining.size(), piece_sizes[piece % piece_sizes.size()]);
+      reader.feed(remaining.substr(0, size));
+      remaining.remove_prefix(size);
     }
     reader.finish();
     RC_ASSERT(recorder.events == expected);
   }));
 }
 
-// Whether each update that is read of a body is what a parser of whole texts reads in those bytes, and
-// nothing comes after an error.
+// Whether each update that the reader delivers equals what a parser of complete texts reads from the same
+// bytes, and no event follows an error.
 bool agrees_with_whole_parser(std::string_view body) {
   Recorder recorder;
-  EndpointListReader reader(kAmpleLimits, recorder);
+  EndpointListReader reader(kLargeLimits, recorder);
   std::size_t update_start = 0;
   for (std::size_t at = 0; at < body.size(); ++at) {
     const std::size_t before = recorder.events.size();
@@ -439,7 +441,7 @@
   return true;
 }
 
-TEST_CASE("random bytes never crash, and never give an update that is not there") {
+TEST_CASE("random bytes never crash the reader, and never give an update that they do not contain") {
   CHECK(rc::check([] { RC_ASSERT(agrees_with_whole_parser(*rc::gen::arbitrary<std::string>())); }));
   CHECK(rc::check([] {
     const auto bytes =
@@ -448,7 +450,7 @@
   }));
 }
 
-// One of the faults that a text may have.
+// Applies one random fault to a text.
 std::string mutated(std::string text, pcg32& random) {
   const auto place = [&] { return random(static_cast<std::uint32_t>(text.size())); };
   constexpr std::string_view kBytes = "{}[]\":,\\ \n0159e-.tfnu\x01\x7f";
@@ -472,11 +474,11 @@
   }
 }
 
-TEST_CASE("mutated bodies give whole updates or an error") {
-  constexpr int kTexts = 4'000;
+TEST_CASE("mutated bodies give complete updates or an error") {
+  constexpr int kTextCount = 4'000;
   int with_error = 0;
   int with_update = 0;
-  for (std::uint32_t seed = 1; seed <= kTexts; ++seed) {
+  for (std::uint32_t seed = 1; seed <= kTextCount; ++seed) {
     CAPTURE(seed);
     pcg32 random(seed);
     std::string text = random_text_of(random_update(random), random) + "\n";
@@ -486,16 +488,16 @@
     REQUIRE(agrees_with_whole_parser(text));
     bool error = false;
     bool update = false;
-    for (const Event& event : read_at_once(text)) {
+    for (const Event& event : read_in_one_piece(text)) {
       error = error || event.kind == Event::Kind::error;
       update = update || event.kind == Event::Kind::update;
     }
     with_error += error;
     with_update += update;
   }
-  // The mutations reach both.
-  CHECK(with_error > kTexts / 4);
-  CHECK(with_update > kTexts / 4);
+  // The mutations lead to both outcomes.
+  CHECK(with_error > kTextCount / 4);
+  CHECK(with_update > kTextCount / 4);
 }
 
 }  // namespace
