--- a/src/state/state.hpp
+++ b/src/state/state.hpp
@@ -1,5 +1,6 @@
-// One text kept on the disk through kills, torn and refused writes: written whole to a new file, synced, and
-// renamed over the old one, which is kept beside it. Knows nothing of what the text says. See README.md.
+// Crash-safe storage of one text, which survives kills, torn writes and failed writes: the text is written to
+// a new file, synced, and renamed over the old file, which is kept as the previous version. The content of
+// the text is not interpreted. See README.md.
 #pragma once
 
 #include <sys/types.h>
@@ -11,39 +12,43 @@
 
 namespace woadtide::state {
 
-// The calls that a disk can fail, by the C library's meaning: below 0 with errno set.
-class Disk {
+// File system calls that can fail, with the C library's conventions: a result below 0, with errno set. Tests
+// override them.
+class FileSystem {
  public:
-  virtual ~Disk() = default;
+  virtual ~FileSystem() = default;
   virtual int create(const char* path);
   virtual ssize_t write(int fd, std::string_view bytes);
   virtual int sync(int fd);
   virtual int link(const char* from, const char* to);
   virtual int rename(const char* from, const char* to);
-  virtual int sync_folder(const char* path);
+  virtual int sync_directory(const char* path);
 };
-Disk& real_disk();
+// The file system of the machine.
+FileSystem& real_file_system();
 
+// Result of reading a state file.
 struct Read {
-  std::optional<std::string> text;  // nothing: there is none
-  std::string trouble;              // why the newest was not the one that was read; empty: it was
+  std::optional<std::string> text;  // empty if nothing was stored yet
+  std::string trouble;              // why the newest version could not be used; empty if it was
 };
 
+// A file that holds one text, and its previous version.
 class File {
  public:
-  explicit File(std::string path, Disk& disk = real_disk()) : path_(std::move(path)), disk_(disk) {}
+  explicit File(std::string path, FileSystem& file_system = real_file_system())
+      : path_(std::move(path)), file_system_(file_system) {}
 
-  // Once this returns the text is on the disk. Throws std::system_error where it is not, or may not be: the
-  // text before is then still there.
+  // Stores the text; it is on disk once this returns. Throws std::system_error if it is not, or may not be,
+  // in which case the previous text is still there.
   void write(std::string_view text);
-  // The newest whole one. A damaged file is left as it is beside the next one that is written, as
-  // PATH.damaged. Throws std::runtime_error where there are some, and none of them is whole, or one is of a
-  // newer format.
+  // Reads the newest intact version. The next write() keeps a damaged file as PATH.damaged. Throws
+  // std::runtime_error if versions exist but none is intact, or if one has a newer format.
   Read read() const;
 
  private:
   const std::string path_;
-  Disk& disk_;
+  FileSystem& file_system_;
 };
 
 }  // namespace woadtide::state
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -1,4 +1,4 @@
-// One text on the disk: through failed, torn and unsynced writes, damage, and files of a newer program.
+// Tests of the state file: failed, torn and unsynced writes, damaged files, and files of a newer format.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "state/state.hpp"
 
@@ -20,13 +20,13 @@
 
 namespace fs = std::filesystem;
 
-struct Folder {
-  Folder() {
+struct TemporaryDirectory {
+  TemporaryDirectory() {
     char name[] = "/tmp/woadtide-state-XXXXXX";
     REQUIRE(::mkdtemp(name));
     path = name;
   }
-  ~Folder() { fs::remove_all(path); }
+  ~TemporaryDirectory() { fs::remove_all(path); }
   std::string file() const { return path + "/state"; }
   std::string path;
 };
@@ -39,150 +39,154 @@
   std::ofstream(path, std::ios::binary) << text;
 }
 
-// Fails operation number `at`; with `cut` it also loses power there: every later call fails, and what was not
-// synced is torn, and renames that no folder's sync has followed are undone.
-class Unkind : public Disk {
+// Fails the operation with number `failing_operation`. With `power_loss` the power is lost there too: every
+// later call fails, and lose_power() truncates what was not synced and undoes renames that no sync of the
+// directory followed.
+class FaultInjectingFileSystem : public FileSystem {
  public:
-  Unkind(int at, bool cut) : at_(at), cut_(cut) {}
+  FaultInjectingFileSystem(int failing_operation, bool power_loss)
+      : failing_operation_(failing_operation), loses_power_(power_loss) {}
   int create(const char* path) override {
-    if (!goes()) return -1;
-    const int fd = Disk::create(path);
+    if (!next_call_succeeds()) return -1;
+    const int fd = FileSystem::create(path);
     files_[fd] = path;
     unsynced_.push_back(path);
     return fd;
   }
   ssize_t write(int fd, std::string_view bytes) override {
-    if (goes()) return Disk::write(fd, bytes);
-    (void)Disk::write(fd, bytes.substr(0, bytes.size() / 2));  // torn
+    if (next_call_succeeds()) return FileSystem::write(fd, bytes);
+    (void)FileSystem::write(fd, bytes.substr(0, bytes.size() / 2));  // torn write
     return -1;
   }
   int sync(int fd) override {
-    if (!goes()) return -1;
+    if (!next_call_succeeds()) return -1;
     std::erase(unsynced_, files_[fd]);
-    return Disk::sync(fd);
+    return FileSystem::sync(fd);
+  }
+  int link(const char* from, const char* to) override {
+    return next_call_succeeds() ? FileSystem::link(from, to) : -1;
   }
-  int link(const char* from, const char* to) override { return goes() ? Disk::link(from, to) : -1; }
   int rename(const char* from, const char* to) override {
-    if (!goes()) return -1;
-    undo_.emplace_back(to, fs::exists(to) ? std::optional(contents(to)) : std::nullopt);
+    if (!next_call_succeeds()) return -1;
+    unsynced_renames_.emplace_back(to, fs::exists(to) ? std::optional(contents(to)) : std::nullopt);
     for (std::string& path : unsynced_)
       if (path == from) path = to;
-    return Disk::rename(from, to);
+    return FileSystem::rename(from, to);
   }
-  int sync_folder(const char* path) override {
-    if (!goes()) return -1;
-    undo_.clear();
-    return Disk::sync_folder(path);
+  int sync_directory(const char* path) override {
+    if (!next_call_succeeds()) return -1;
+    unsynced_renames_.clear();
+    return FileSystem::sync_directory(path);
   }
   void lose_power() {
-    for (auto it = undo_.rbegin(); it != undo_.rend(); ++it) {
-      fs::remove(it->first);  // it may be another name of a file that stays
+    for (auto it = unsynced_renames_.rbegin(); it != unsynced_renames_.rend(); ++it) {
+      fs::remove(it->first);  // removed first, because it may be a hard link to a file that must not change
       if (it->second) overwrite(it->first, *it->second);
     }
     for (const std::string& path : unsynced_)
       if (fs::exists(path)) overwrite(path, contents(path).substr(0, 20));
   }
-  int operations() const { return count_; }
+  int operations() const { return operation_count_; }
 
  private:
-  bool goes() {
-    if (++count_ == at_) over_ = true;
+  bool next_call_succeeds() {
+    if (++operation_count_ == failing_operation_) failed_ = true;
     errno = ENOSPC;
-    return !(count_ == at_ || (over_ && cut_));
+    return !(operation_count_ == failing_operation_ || (failed_ && loses_power_));
   }
-  const int at_;
-  const bool cut_;
-  int count_ = 0;
-  bool over_ = false;
+  const int failing_operation_;
+  const bool loses_power_;
+  int operation_count_ = 0;
+  bool failed_ = false;
   std::map<int, std::string> files_;
   std::vector<std::string> unsynced_;
-  std::vector<std::pair<std::string, std::optional<std::string>>> undo_;
+  std::vector<std::pair<std::string, std::optional<std::string>>> unsynced_renames_;
 };
 
-TEST_CASE("what is written is read, by the next process too, and nothing where nothing was") {
-  Folder folder;
-  CHECK_FALSE(File(folder.file()).read().text);
-  File file(folder.file());
+TEST_CASE("a written text is read back, also by the next process, and a missing file gives no text") {
+  TemporaryDirectory directory;
+  CHECK_FALSE(File(directory.file()).read().text);
+  File file(directory.file());
   for (const std::string text : {"one", "", "three\nlines\n", "four"}) {
     file.write(text);
-    const Read read = File(folder.file()).read();
+    const Read read = File(directory.file()).read();
     REQUIRE(read.text);
     CHECK(*read.text == text);
     CHECK(read.trouble.empty());
   }
 }
 
-// Guards that a promise is on the disk before it is given: for each operation in turn, failed alone or with
-// the power gone there, the text before or the new one is read, and the new one wherever write() returned.
-TEST_CASE("every operation failed in turn, and the power lost there") {
-  for (const bool cut : {false, true})
-    for (int at = 1; at < 100; ++at) {
-      CAPTURE(cut);
-      CAPTURE(at);
-      Folder folder;
-      File(folder.file()).write("first");
-      File(folder.file()).write("second");
-      Unkind disk(at, cut);
+// Guards against a text that is reported as stored before it is on disk. Each operation in turn fails, alone
+// or with a power loss: afterwards the previous or the new text is read, and the new one if write() returned.
+TEST_CASE("each operation fails in turn, with and without a power loss") {
+  for (const bool power_loss : {false, true})
+    for (int failing_operation = 1; failing_operation < 100; ++failing_operation) {
+      CAPTURE(power_loss);
+      CAPTURE(failing_operation);
+      TemporaryDirectory directory;
+      File(directory.file()).write("first");
+      File(directory.file()).write("second");
+      FaultInjectingFileSystem file_system(failing_operation, power_loss);
       bool written = false;
       try {
-        File(folder.file(), disk).write("third");
+        File(directory.file(), file_system).write("third");
         written = true;
       } catch (const std::system_error&) {
       }
-      if (cut) disk.lose_power();
-      const Read read = File(folder.file()).read();
+      if (power_loss) file_system.lose_power();
+      const Read read = File(directory.file()).read();
       REQUIRE(read.text);
       if (written)
         CHECK(*read.text == "third");
       else
         CHECK((*read.text == "second" || *read.text == "third"));
-      // And the next one goes as if nothing had been.
-      File(folder.file()).write("fourth");
-      CHECK(File(folder.file()).read().text == "fourth");
-      if (disk.operations() < at) {
-        CHECK(at > 6);  // all were reached
+      // The next write succeeds as usual.
+      File(directory.file()).write("fourth");
+      CHECK(File(directory.file()).read().text == "fourth");
+      if (file_system.operations() < failing_operation) {
+        CHECK(failing_operation > 6);  // every operation was reached
         break;
       }
     }
 }
 
-TEST_CASE("the power lost behind a write that returned loses nothing of it") {
-  Folder folder;
-  Unkind disk(1'000, false);
-  File(folder.file(), disk).write("kept");
-  disk.lose_power();
-  CHECK(File(folder.file()).read().text == "kept");
+TEST_CASE("a power loss after write() has returned loses nothing") {
+  TemporaryDirectory directory;
+  FaultInjectingFileSystem file_system(1'000, false);
+  File(directory.file(), file_system).write("kept");
+  file_system.lose_power();
+  CHECK(File(directory.file()).read().text == "kept");
 }
 
-TEST_CASE("a damaged newest falls back with a word, and never pushes out the whole one") {
-  for (const int at : {0, 18, 30, 60}) {  // head and text
-    Folder folder;
-    File file(folder.file());
+TEST_CASE("a damaged newest version falls back with a warning, and never replaces an intact version") {
+  for (const int byte_position : {0, 18, 30, 60}) {  // positions in the header and in the text
+    TemporaryDirectory directory;
+    File file(directory.file());
     file.write("the older text of some length");
     file.write("the newer text of some length");
-    std::string bytes = contents(folder.file());
-    bytes[static_cast<std::size_t>(at) % bytes.size()] ^= 1;
-    overwrite(folder.file(), bytes);
+    std::string bytes = contents(directory.file());
+    bytes[static_cast<std::size_t>(byte_position) % bytes.size()] ^= 1;
+    overwrite(directory.file(), bytes);
     const Read read = file.read();
     CHECK(read.text == "the older text of some length");
     CHECK(read.trouble.find("damaged") != std::string::npos);
     file.write("another");
-    CHECK(contents(folder.file() + ".damaged") == bytes);
+    CHECK(contents(directory.file() + ".damaged") == bytes);
     CHECK(file.read().text == "another");
-    overwrite(folder.file(), "x");
+    overwrite(directory.file(), "x");
     CHECK(file.read().text == "the older text of some length");
   }
-  Folder folder;
-  overwrite(folder.file(), "no state at all");
-  CHECK_THROWS_AS(File(folder.file()).read(), std::runtime_error);
+  TemporaryDirectory directory;
+  overwrite(directory.file(), "no state at all");
+  CHECK_THROWS_AS(File(directory.file()).read(), std::runtime_error);
 }
 
-TEST_CASE("a file of a newer program is refused in words, and stays") {
-  Folder folder;
-  overwrite(folder.file(), "woadtide-state 2 0000000000000000 0\n");
-  CHECK_THROWS_AS(File(folder.file()).read(), std::runtime_error);
-  CHECK_THROWS_AS(File(folder.file()).write("x"), std::runtime_error);
-  CHECK(contents(folder.file()).starts_with("woadtide-state 2 "));
+TEST_CASE("a file of a newer format is rejected and left unchanged") {
+  TemporaryDirectory directory;
+  overwrite(directory.file(), "woadtide-state 2 0000000000000000 0\n");
+  CHECK_THROWS_AS(File(directory.file()).read(), std::runtime_error);
+  CHECK_THROWS_AS(File(directory.file()).write("x"), std::runtime_error);
+  CHECK(contents(directory.file()).starts_with("woadtide-state 2 "));
 }
 
 }  // namespace
