--- a/src/endpoints/limits.hpp
+++ b/src/endpoints/limits.hpp
@@ -34,9 +34,14 @@
 static_assert(kPeakBytesPerEndpoint + 4 * kMaxTextBytesPerEndpoint <
               kMemoryShareDivisor * kPeakBytesPerEndpoint);
 
-// Computes the limits:
-// max_endpoints    = memory_bytes_available / kMemoryShareDivisor / kPeakBytesPerEndpoint, at least
-// kMinEndpoints max_update_bytes = max_endpoints * kMaxTextBytesPerEndpoint max_entry_bytes  = kMaxEntryBytes
+// Computes the limits from the bytes of memory that are available:
+//
+// - max_endpoints = memory_bytes_available / kMemoryShareDivisor / kPeakBytesPerEndpoint, at least
+// kMinEndpoints
+//
+// - max_update_bytes = max_endpoints * kMaxTextBytesPerEndpoint
+//
+// - max_entry_bytes = kMaxEntryBytes
 EndpointLimits endpoint_limits(std::size_t memory_bytes_available);
 
 }  // namespace woadtide::endpoints
--- a/src/endpoints/list_reader.hpp
+++ b/src/endpoints/list_reader.hpp
@@ -90,11 +90,11 @@
   EndpointListListener& listener_;
   std::optional<EndpointListError> error_;
   State state_ = State::between_updates;
-  bool line_has_update_ =
-      false;  // between updates: an update ended on this line, so that it is no keep-alive
+  // Between updates: an update ended on this line, so the line is no keep-alive.
+  bool line_has_update_ = false;
 
   EndpointUpdate update_;
-  std::unordered_set<std::string_view> names_;  // views into update_
+  std::unordered_set<std::string_view> names_;  // views into update_, which owns the names
   std::size_t update_bytes_ = 0;
   std::size_t entries_started_ = 0;
   Member member_ = Member::unknown;
--- a/src/lease/lease.hpp
+++ b/src/lease/lease.hpp
@@ -20,7 +20,7 @@
 
 // State of a job. States from `finished` on are final.
 enum class State { taken, leased, running, finished, failed, in_doubt, refused };
-// Whether a job may run more than once (`safe`) or must run at most once (`once`).
+// Whether a job may run more than once (idempotent) or must run at most once.
 enum class Repeat { safe, once };
 
 // Whether no event changes a job in this state any more.
@@ -78,7 +78,7 @@
   std::string key;
   std::uint64_t epoch = 0;
 };
-// Outcome of an execution. `not_run`: it is proved that nothing ran.
+// Outcome of an execution. `not_started`: it is proved that nothing ran.
 enum class End { done, failed, not_run, unknown };
 // The execution under this lease ended.
 struct Ended {
@@ -93,7 +93,7 @@
 };
 // Worker's answer about a job. `never`: its ledger has no such job. `unreachable`: no answer came.
 enum class Says { finished, failed, running, never, unknown, unreachable };
-// The answer to an Ask of this epoch.
+// The answer to an AskWorker of this epoch.
 struct Answered {
   std::string key;
   std::uint64_t epoch = 0;
@@ -115,7 +115,7 @@
 struct Dispatch {
   std::string key;
 };
-// Send the execution to the chosen worker, once all preceding Writes are on disk.
+// Send the execution to the chosen worker, once all preceding records are on disk.
 struct Start {
   std::string key;
   std::uint64_t epoch = 0;
@@ -133,8 +133,8 @@
   std::string key;
   bool lazy = false;
 };
-// Ask the worker about the job, once all preceding Writes are on disk. From then on the worker must not begin
-// the job with an epoch below `epoch`.
+// Ask the worker about the job, once all preceding records are on disk. From then on the worker must not
+// begin the job with an epoch below `epoch`.
 struct Ask {
   std::string key, worker;
   std::uint64_t epoch = 0;
@@ -153,7 +153,7 @@
 
   // Processes an event and appends the resulting effects, which the owner must carry out in order.
   void handle(double now, const Event& event, std::vector<Effect>& effects);
-  // Time of the next Tick that has work to do; nullopt if there is none.
+  // Time of the next TimePassed event that has work to do; nullopt if there is none.
   std::optional<double> next_due() const;
 
   // The open job with this key; nullptr if there is none.
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -221,8 +221,8 @@
   Table table{Settings{50, 10, 30}};
   std::map<std::string, Job> records;
   std::map<std::string, Repeat> repeat_of;
-  std::map<std::string, int>
-      executions_begun;  // how often each job began at any worker, including lost ledgers
+  // How often each job began at any worker, including those whose ledger was lost.
+  std::map<std::string, int> executions_begun;
   std::map<std::string, State> final_states;  // as the clients were notified
   std::vector<Message> in_flight;
   std::vector<std::string> dispatched;  // no worker chosen yet
