--- a/src/front/http/front.cpp
+++ b/src/front/http/front.cpp
@@ -14,18 +14,21 @@
 
 namespace {
 
-constexpr std::size_t kMostId = 128;
+constexpr std::size_t kMaxIdBytes = 128;
 
-// What the views of a query's parcel show.
-struct Held {
+// Owns the bytes that the views of a query's payload refer to.
+struct PayloadStorage {
   std::shared_ptr<const void> message;
   std::string fields;
 };
 
-// Carries the loop's answer to the link, or the client's leaving to the loop.
-class Asking : public core::Asker, public net::Errand, public std::enable_shared_from_this<Asking> {
+// The reply callback and pending request of one query: passes the decision loop's answer to the client link,
+// and a disconnect of the client to the decision loop.
+class QueryRequest : public core::Asker,
+                     public net::Errand,
+                     public std::enable_shared_from_this<QueryRequest> {
  public:
-  Asking(std::shared_ptr<net::ClientLink> link, core::Inbox& inbox, std::string id, bool closes)
+  QueryRequest(std::shared_ptr<net::ClientLink> link, core::Inbox& inbox, std::string id, bool closes)
       : link_(std::move(link)), inbox_(inbox), id_(std::move(id)), closes_(closes) {}
 
   void answer(core::Answer answer) override {
@@ -33,10 +36,11 @@
       case AnswerKind::served:
         return link_->reply(200, "Content-Type: application/octet-stream\r\n", answer.body, closes_, true);
       case AnswerKind::refused: {
-        std::array<char, 48> retry{};
+        std::array<char, 48> retry_after{};
         if (answer.retry_after_ms > 0)
-          std::snprintf(retry.data(), retry.size(), "Retry-After: %.3f\r\n", answer.retry_after_ms / 1000);
-        return link_->reply(503, retry.data(), "refused\n", closes_, true);
+          std::snprintf(retry_after.data(), retry_after.size(), "Retry-After: %.3f\r\n",
+                        answer.retry_after_ms / 1000);
+        return link_->reply(503, retry_after.data(), "refused\n", closes_, true);
       }
       case AnswerKind::failed:
         return link_->reply(502, {}, "failed\n", closes_, true);
@@ -60,27 +64,28 @@
 std::shared_ptr<net::Errand> Front::take(const std::shared_ptr<net::ClientLink>& link, net::Message message) {
   const net::Head& head = message.head;
   const std::string_view path = head.target.substr(0, head.target.find('?'));
-  const bool ready_asked = path == "/health/ready", live_asked = path == "/health/live";
-  if (head.method == "GET" && (ready_asked || live_asked)) {
-    const bool yes = live_asked || ready;
-    link->reply(yes ? 200 : 503, {}, yes ? "ready\n" : "not ready\n", message.closes, false);
+  const bool is_readiness_check = path == "/health/ready", is_liveness_check = path == "/health/live";
+  if (head.method == "GET" && (is_readiness_check || is_liveness_check)) {
+    const bool healthy = is_liveness_check || ready;
+    link->reply(healthy ? 200 : 503, {}, healthy ? "ready\n" : "not ready\n", message.closes, false);
     return nullptr;
   }
-  if (head.method != "POST") throw BadMessage(ready_asked || live_asked ? 405 : 404, "no such resource");
+  if (head.method != "POST")
+    throw BadMessage(is_readiness_check || is_liveness_check ? 405 : 404, "no such resource");
   core::Query query;
   net::read_figures(head, query, message.received);
   const auto id = head.find("X-Call-Id");
-  if (!id || id->size() > kMostId || !net::is_token(*id))
+  if (!id || id->size() > kMaxIdBytes || !net::is_token(*id))
     throw BadMessage(400, "X-Call-Id is missing or malformed");
   query.id = *id;
-  const auto held = std::make_shared<Held>(Held{std::move(message.hold), {}});
+  const auto storage = std::make_shared<PayloadStorage>(PayloadStorage{std::move(message.hold), {}});
   for (const net::Field& field : head.fields)
     if (net::is_passed_on(field.name) && !head.connection_names(field.name))
-      held->fields.append(field.name).append(": ").append(field.value).append("\r\n");
-  query.parcel = {held, head.method, head.target, held->fields, std::move(message.body)};
-  auto asking = std::make_shared<Asking>(link, inbox_, query.id, message.closes);
-  inbox_.put(core::QueryArrived{std::move(query), asking});
-  return asking;
+      storage->fields.append(field.name).append(": ").append(field.value).append("\r\n");
+  query.parcel = {storage, head.method, head.target, storage->fields, std::move(message.body)};
+  auto request = std::make_shared<QueryRequest>(link, inbox_, query.id, message.closes);
+  inbox_.put(core::QueryArrived{std::move(query), request});
+  return request;
 }
 
 }  // namespace woadtide::front::http
--- a/src/front/http/front.hpp
+++ b/src/front/http/front.hpp
@@ -1,5 +1,6 @@
-// Queries over HTTP/1.1, as PROTOCOL has them: turns a client's message into a core::Query, and the loop's
-// core::Answer into what goes back. Must not know workers, discovery or other fronts.
+// The frontend for queries over HTTP/1.1: turns a client's request into a core::Query, and the decision
+// loop's core::Answer into the HTTP response. Must not depend on workers, service discovery or other
+// frontends.
 #pragma once
 
 #include <atomic>
@@ -10,14 +11,16 @@
 
 namespace woadtide::front::http {
 
+// Also answers the health checks GET /health/ready and GET /health/live.
 class Front : public net::Front {
  public:
+  // Queries, and the news that their client has gone, are put into `inbox`, which must outlive the frontend.
   explicit Front(core::Inbox& inbox) : inbox_(inbox) {}
 
   std::shared_ptr<net::Errand> take(const std::shared_ptr<net::ClientLink>& link,
                                     net::Message message) override;
 
-  std::atomic<bool> ready{false};  // what /health/ready says
+  std::atomic<bool> ready{false};  // /health/ready answers 200 if set, else 503
 
  private:
   core::Inbox& inbox_;
--- a/src/net/client_link.cpp
+++ b/src/net/client_link.cpp
@@ -11,7 +11,7 @@
 namespace woadtide::net {
 
 namespace {
-const BadMessage kLate(408, "the rest did not come");
+const BadMessage kReadTimeout(408, "request not complete in time");
 }
 
 ClientLink::ClientLink(Socket socket, ClientSide& side, ClientLinks& links)
@@ -20,222 +20,236 @@
       mutex_(links.mutex_),
       socket_(std::move(socket)),
       reader_(side.pool),
-      opened_(side.clock.now()),
-      until_(opened_ + side.first_ms) {}
+      opened_at_(side.clock.now()),
+      read_deadline_(opened_at_ + side.first_ms) {}
 
+// Event handler: the socket became readable or writable, or the client closed.
 void ClientLink::ready(park::Signs signs) {
-  hung_up_ |= signs.closed;
-  std::shared_ptr<Errand> nobody_waits;
-  bool writes = false, lingers = false;
+  peer_closed_ |= signs.closed;
+  std::shared_ptr<Errand> abandoned;
+  bool writing = false, lingering = false;
   {
     const std::lock_guard lock(*mutex_);
-    if (over_) return;
-    writes = writing_;
-    lingers = state_ == ConnectionState::lingering;
-    if (at_work_ && !writes) {
-      unheard_ |= signs.readable;
-      if (signs.readable) waiting_since_ = side_.clock.now();
-      if (!hung_up_) return;
-      nobody_waits = std::exchange(errand_, nullptr);
-      links_.drop(*this);
-      if (!nobody_waits) return;
+    if (closed_) return;
+    writing = writing_;
+    lingering = state_ == ConnectionState::lingering;
+    if (processing_ && !writing) {
+      input_signalled_ |= signs.readable;
+      if (signs.readable) unread_since_ = side_.clock.now();
+      if (!peer_closed_) return;
+      abandoned = std::exchange(pending_request_, nullptr);
+      links_.remove_link(*this);
+      if (!abandoned) return;
     }
   }
-  if (nobody_waits) return nobody_waits->gone();
-  if (writes) return write_on();
-  if (lingers) return take_rest();
-  read();
+  if (abandoned) return abandoned->gone();
+  if (writing) return send_pending();
+  if (lingering) return discard_input();
+  read_message();
 }
 
+// Event handler: a time limit of this link has been reached.
 void ClientLink::late() {
-  bool reads = false;
+  bool has_input = false;
   {
     const std::lock_guard lock(*mutex_);
-    if (over_ || (at_work_ && !writing_)) return;
-    if (writing_ || state_ == ConnectionState::lingering) return links_.drop(*this);
-    reads = reads_ || reader_.has_rest() || !socket_.quiet();
-    if (!reads) return links_.linger(*this);
+    if (closed_ || (processing_ && !writing_)) return;
+    if (writing_ || state_ == ConnectionState::lingering) return links_.remove_link(*this);
+    has_input = reading_ || reader_.has_rest() || !socket_.quiet();
+    if (!has_input) return links_.begin_linger(*this);
   }
-  read();
+  read_message();
 }
 
-// All that has come, up to a whole message.
-void ClientLink::read() {
+// Reads what has arrived, at most up to the end of one message, and dispatches the message if it is complete.
+void ClientLink::read_message() {
   try {
-    if (take_bytes()) hand_over();
+    if (read_available()) dispatch_message();
   } catch (const BadMessage& bad) {
     reject(bad.status, bad.what());
-  } catch (const std::exception& failed) {
-    core::log_line(std::string("client link: ") + failed.what());
+  } catch (const std::exception& error) {
+    core::log_line(std::string("client link: ") + error.what());
     const std::lock_guard lock(*mutex_);
-    links_.drop(*this);
+    links_.remove_link(*this);
   }
 }
 
-bool ClientLink::take_bytes() {
-  bool came = false;
+// True when a message is complete. Otherwise the link is closed, or waits for bytes or for its next turn.
+bool ClientLink::read_available() {
+  bool received = false;
   for (int reads = 0;; ++reads) {
     const double now = side_.clock.now();
-    // Some come in pieces, for seconds. But one that has stopped must not hold a place and a buffer, nor may
-    // a byte now and then hold them for good.
-    if (!std::exchange(reads_, true)) {
-      const double begun = served_ ? now : opened_;
-      until_ = begun + side_.first_ms;
-      last_ = begun + side_.message_ms;
+    // Some messages arrive in pieces over seconds. But a client that has stopped sending must not hold a
+    // place and a buffer, and one that sends a byte now and then must not hold them without end.
+    if (!std::exchange(reading_, true)) {
+      const double started_at = answered_ ? now : opened_at_;
+      read_deadline_ = started_at + side_.first_ms;
+      message_deadline_ = started_at + side_.message_timeout_ms;
     }
-    const bool rest = reader_.has_rest();
-    const std::span<char> room = reader_.room();
-    if (room.empty() || reads == kReadsAtOnce) {
-      if (now >= until_) throw room.empty() ? BadMessage(503, "no memory for it now") : kLate;
-      go_on_at(std::min(now + kGoOnMs, until_), came);
+    const bool has_rest = reader_.has_rest();
+    const std::span<char> free_space = reader_.room();
+    if (free_space.empty() || reads == kMaxReadsPerTurn) {
+      if (now >= read_deadline_)
+        throw free_space.empty() ? BadMessage(503, "no receive buffer available") : kReadTimeout;
+      schedule_read(std::min(now + kGoOnMs, read_deadline_), received);
       return false;
     }
-    if (rest && reader_.came(0)) return true;
-    std::size_t got = 0;
-    // Asked whether it would wait, not to wait: the park tells when it need not.
-    const Io io = socket_.receive(room.data(), room.size(), got);
+    if (has_rest && reader_.came(0)) return true;
+    std::size_t received_bytes = 0;
+    // A non-blocking read: the event loop signals when there is more.
+    const Io io = socket_.receive(free_space.data(), free_space.size(), received_bytes);
     if (now > side_.read_until) throw BadMessage(503, "clients are sent away");
     if (io == Io::late) {
-      waiting_since_.reset();
-      await_more(now, came);
+      unread_since_.reset();
+      wait_for_bytes(now, received);
       return false;
     }
     if (io != Io::done) {
       const std::lock_guard lock(*mutex_);
-      links_.drop(*this);
+      links_.remove_link(*this);
       return false;
     }
-    came = true;
-    arrived_ = waiting_since_.value_or(now);
-    if (reader_.came(got)) {
-      // A connection may have waited to be accepted, and this process may have been held up.
-      arrived_ = std::min(arrived_, side_.clock.ago(socket_.age_of_newest_bytes()));
-      // What comes from here on has not waited: also where it is there before sent() looks.
-      if (waiting_since_ && socket_.quiet()) waiting_since_.reset();
+    received = true;
+    received_at_ = unread_since_.value_or(now);
+    if (reader_.came(received_bytes)) {
+      // The connection may have waited to be accepted, and this process may have been delayed: the kernel
+      // knows how old the bytes are.
+      received_at_ = std::min(received_at_, side_.clock.ago(socket_.newest_bytes_age_ms()));
+      // Bytes that arrive from here on have not waited, even if they are there before finish_reply() looks.
+      if (unread_since_ && socket_.quiet()) unread_since_.reset();
       return true;
     }
     if (reader_.wants_continue()) socket_.send_some({"HTTP/1.1 100 Continue\r\n\r\n"});
-    until_ = std::min(std::max(until_, now + side_.gap_ms), last_);
+    read_deadline_ = std::min(std::max(read_deadline_, now + side_.read_gap_ms), message_deadline_);
   }
 }
 
-// A link that says nothing holds no buffer.
-void ClientLink::await_more(double now, bool came) {
+// The socket is drained. A link on which no message has begun gives its buffer back.
+void ClientLink::wait_for_bytes(double now, bool received) {
   if (!reader_.begun()) {
-    reader_.let_go();
-    reads_ = false;
+    reader_.release_empty_buffer();
+    reading_ = false;
     const std::lock_guard lock(*mutex_);
-    side_.park.wake_at(token_, served_ ? moved_ + side_.idle_ms : until_);
+    side_.park.wake_at(token_, answered_ ? state_since_ + side_.idle_timeout_ms : read_deadline_);
     return;
   }
-  if (now >= until_) throw kLate;
-  go_on_at(until_, came);
+  if (now >= read_deadline_) throw kReadTimeout;
+  schedule_read(read_deadline_, received);
 }
 
-void ClientLink::go_on_at(double when, bool came) {
+// Reads again at `when` at the latest. `received` says whether bytes arrived in this turn.
+void ClientLink::schedule_read(double when, bool received) {
   side_.park.wake_at(token_, when);
-  if (!came) return;
+  if (!received) return;
   const std::lock_guard lock(*mutex_);
-  links_.put(*this, served_ ? ConnectionState::busy : ConnectionState::reading);
+  links_.set_state(*this, answered_ ? ConnectionState::busy : ConnectionState::reading);
 }
 
-void ClientLink::hand_over() {
-  reads_ = false;
+// Passes the complete message to the frontend.
+void ClientLink::dispatch_message() {
+  reading_ = false;
   {
     const std::lock_guard lock(*mutex_);
-    at_work_ = true;
-    links_.put(*this, ConnectionState::busy);
+    processing_ = true;
+    links_.set_state(*this, ConnectionState::busy);
   }
   Message message = reader_.take();
-  message.received = arrived_;
-  auto errand = side_.front.take(shared_from_this(), std::move(message));
+  message.received = received_at_;
+  auto request = side_.front.take(shared_from_this(), std::move(message));
   {
     const std::lock_guard lock(*mutex_);
-    if (over_) return;
-    if (!at_work_ || !errand) {  // answered already
-      if (hung_up_ && !at_work_) side_.park.poke(token_, {.readable = true});
+    if (closed_) return;
+    if (!processing_ || !request) {  // already answered
+      if (peer_closed_ && !processing_) side_.park.poke(token_, {.readable = true});
       return;
     }
-    if (!hung_up_) {
-      errand_ = std::move(errand);
+    if (!peer_closed_) {
+      pending_request_ = std::move(request);
       return;
     }
-    links_.drop(*this);
+    links_.remove_link(*this);
   }
-  errand->gone();
+  request->gone();
 }
 
-void ClientLink::reply(int status, std::string_view fields, std::string_view body, bool closes, bool worked) {
-  std::shared_ptr<Errand> done;  // goes outside the mutex
+void ClientLink::reply(int status, std::string_view fields, std::string_view body, bool closes,
+                       bool is_query) {
+  std::shared_ptr<Errand> answered_request;  // destroyed after the mutex is released
   {
     const std::lock_guard lock(*mutex_);
-    if (over_) return;
+    if (closed_) return;
     closes = closes || side_.draining;
-    done = std::exchange(errand_, nullptr);
+    answered_request = std::exchange(pending_request_, nullptr);
   }
-  // Nobody else touches the socket while the message is at work, but to see that the client has gone.
-  const std::string head = answer_head(status, fields, body.size(), closes);
-  const std::size_t went = socket_.send_some({head, body});
-  if (went == head.size() + body.size()) return sent(closes, worked);
-  out_ = head.substr(std::min(went, head.size()));
-  out_ += body.substr(went - std::min(went, head.size()));
+  // While the message is being processed nobody else uses the socket, except to detect that the client
+  // closed.
+  const std::string head = response_head(status, fields, body.size(), closes);
+  const std::size_t sent_bytes = socket_.send_some({head, body});
+  if (sent_bytes == head.size() + body.size()) return finish_reply(closes, is_query);
+  unsent_ = head.substr(std::min(sent_bytes, head.size()));
+  unsent_ += body.substr(sent_bytes - std::min(sent_bytes, head.size()));
   const std::lock_guard lock(*mutex_);
-  if (over_) return;
-  closes_after_ = closes;
-  worked_after_ = worked;
+  if (closed_) return;
+  close_when_sent_ = closes;
+  unsent_is_query_ = is_query;
   writing_ = true;
-  side_.park.wake_at(token_, side_.clock.now() + side_.message_ms);
-  side_.park.poke(token_, {.writable = true});  // room may have come before anybody listened for it
+  side_.park.wake_at(token_, side_.clock.now() + side_.message_timeout_ms);
+  // The socket may have become writable before writing_ was set.
+  side_.park.poke(token_, {.writable = true});
 }
 
-void ClientLink::write_on() {
-  const std::size_t went = socket_.send_some({out_});
-  out_.erase(0, went);
-  if (!out_.empty() && !hung_up_) return;
-  const bool whole = std::exchange(out_, {}).empty();
-  if (whole) return sent(closes_after_, worked_after_);
+// Continues to send the response.
+void ClientLink::send_pending() {
+  const std::size_t sent_bytes = socket_.send_some({unsent_});
+  unsent_.erase(0, sent_bytes);
+  if (!unsent_.empty() && !peer_closed_) return;
+  const bool complete = std::exchange(unsent_, {}).empty();
+  if (complete) return finish_reply(close_when_sent_, unsent_is_query_);
   const std::lock_guard lock(*mutex_);
-  links_.drop(*this);
+  links_.remove_link(*this);
 }
 
-void ClientLink::sent(bool closes, bool worked) {
+// The socket has accepted the whole response.
+void ClientLink::finish_reply(bool closes, bool is_query) {
   const std::lock_guard lock(*mutex_);
-  if (over_) return;
-  at_work_ = writing_ = false;
-  served_ = true;
-  worked_ |= worked;
-  if (closes) return links_.linger(*this);
-  // A read may have brought less than had come, and the park tells of changes only.
-  const bool more = std::exchange(unheard_, false) || reader_.has_rest() || !socket_.quiet();
-  links_.put(*this, worked_ ? ConnectionState::idle : ConnectionState::asked);
-  side_.park.wake_at(token_, moved_ + side_.idle_ms);
-  if (more) side_.park.poke(token_, {.readable = true});
+  if (closed_) return;
+  processing_ = writing_ = false;
+  answered_ = true;
+  carried_query_ |= is_query;
+  if (closes) return links_.begin_linger(*this);
+  // The last read may have taken less than had arrived, and the event loop signals only changes.
+  const bool has_input = std::exchange(input_signalled_, false) || reader_.has_rest() || !socket_.quiet();
+  links_.set_state(*this, carried_query_ ? ConnectionState::idle : ConnectionState::idle_no_query);
+  side_.park.wake_at(token_, state_since_ + side_.idle_timeout_ms);
+  if (has_input) side_.park.poke(token_, {.readable = true});
 }
 
-void ClientLink::reject(int status, std::string_view why) {
-  reads_ = false;
-  const std::string body = std::string(why) + '\n';
-  socket_.send_some({answer_head(status, "Content-Type: text/plain\r\n", body.size(), true), body});
+// Answers a message that cannot be accepted, and closes the link.
+void ClientLink::reject(int status, std::string_view reason) {
+  reading_ = false;
+  const std::string body = std::string(reason) + '\n';
+  socket_.send_some({response_head(status, "Content-Type: text/plain\r\n", body.size(), true), body});
   {
     const std::lock_guard lock(*mutex_);
-    if (over_) return;
-    at_work_ = false;
-    links_.linger(*this);
+    if (closed_) return;
+    processing_ = false;
+    links_.begin_linger(*this);
   }
-  take_rest();
+  discard_input();
 }
 
-// Closing with bytes unread resets the link, and takes along what the client has not read yet of its answer.
-// But one that sends on and on has had its time.
-void ClientLink::take_rest() {
-  std::array<char, 4096> rest{};
-  std::size_t got = 0;
+// Reads and discards input of a link that lingers. Closing a socket with unread bytes resets the connection,
+// which discards the part of the response that the client has not read yet. A client that keeps sending is
+// closed all the same when its time is up.
+void ClientLink::discard_input() {
+  std::array<char, 4096> discarded{};
+  std::size_t received_bytes = 0;
   Io io = Io::done;
-  for (int reads = 0; io == Io::done && reads < kReadsAtOnce; ++reads)
-    io = socket_.receive(rest.data(), rest.size(), got);
+  for (int reads = 0; io == Io::done && reads < kMaxReadsPerTurn; ++reads)
+    io = socket_.receive(discarded.data(), discarded.size(), received_bytes);
   if (io == Io::late) return;
   const std::lock_guard lock(*mutex_);
-  if (io != Io::done || side_.clock.now() >= until_) return links_.drop(*this);
+  if (io != Io::done || side_.clock.now() >= read_deadline_) return links_.remove_link(*this);
   side_.park.poke(token_, {.readable = true});
 }
 
--- a/src/net/client_link.hpp
+++ b/src/net/client_link.hpp
@@ -1,5 +1,6 @@
-// One link from a client: reads whole messages, on the park's thread, hands each to its front, and writes the
-// answer. A link that waits, for bytes or for its answer, holds no thread.
+// One client link (an inbound connection): reads complete messages on the event loop's thread, passes each to
+// its protocol frontend and writes the response. A link that waits for bytes or for its response holds no
+// thread.
 #pragma once
 
 #include <atomic>
@@ -20,97 +21,113 @@
 
 class ClientLink;
 
-// What a link waits for while its message is at work.
+// A pending request: what a client link notifies while its message is being processed.
 class Errand {
  public:
   virtual ~Errand() = default;
-  // The client has gone: nobody needs the answer. Once at most, on the park's thread; must not block.
+  // The client has disconnected, so the response is no longer needed. Called at most once, on the event
+  // loop's thread; must not block.
   virtual void gone() = 0;
 };
 
-// One protocol over client links.
+// A protocol frontend: processes the messages of client links that speak one protocol.
 class Front {
  public:
   virtual ~Front() = default;
-  // On the park's thread; must not block. It either answers by reply() before it returns, or gives the errand
-  // that will call reply() once, on any thread. Throws BadMessage.
+  // Handles one message. Called on the event loop's thread; must not block. It either calls link->reply()
+  // before it returns, and returns null, or returns the pending request that will call reply() once, on any
+  // thread. Throws BadMessage.
   virtual std::shared_ptr<Errand> take(const std::shared_ptr<ClientLink>& link, Message message) = 0;
 };
 
-// What all links of one front share.
+// Resources, timeouts and drain state that all client links of one frontend share.
 struct ClientSide {
   core::Clock& clock;
   BufferPool& pool;
   park::Park& park;
   Front& front;
-  double first_ms = 2'000;     // from accept: by then a link's first message must have come, or
-  double gap_ms = 1'000;       // since its last byte: it comes in pieces, and goes on
-  double idle_ms = 120'000;    // a link that has served is closed after this without a message
-  double message_ms = 10'000;  // its next messages must have come, an answer must have gone, within this
-  std::atomic<bool> draining{false};  // answers close their links
-  // What is still being read then is refused: with clients sent away, a query must not begin late.
+  // A message must be complete this long after accept (the first message of a link) or after its first byte
+  // (later ones). While its bytes keep arriving, the limit extends to read_gap_ms after the newest byte, but
+  // not beyond message_timeout_ms after the same start.
+  double first_ms = 2'000;
+  double read_gap_ms = 1'000;
+  double idle_timeout_ms = 120'000;  // a link that has served a message is closed after this long without one
+  double message_timeout_ms = 10'000;  // longest time for reading one message, and for writing one response
+  std::atomic<bool> draining{false};   // every response closes its link
   static constexpr double kAlways = 1e18;
+  // Messages that are still being read after this time (ms on `clock`) are rejected: once clients are sent
+  // away, a query must not start late.
   std::atomic<double> read_until{kAlways};
 };
 
-// Where a link stands, which says whether it may be closed to make room:
-// fresh: no byte of its first message has come; reading: a part of it was read; asked: answered, but it never
-// brought a query to work on; idle: between two messages; busy: its next message is coming in, or one is at
-// work; lingering: all is said, its client is to close.
-enum class ConnectionState { fresh, reading, asked, idle, busy, lingering };
+// State of a client link. It decides whether the link may be closed to make room for another one.
+enum class ConnectionState {
+  fresh,          // no byte of its first message has arrived
+  reading,        // a part of its first message has arrived
+  idle_no_query,  // idle, and none of the messages it was answered was a query
+  idle,           // between two messages, after at least one query
+  busy,           // its next message is arriving, or one is being processed
+  lingering       // our side is shut down; waiting for the client to close
+};
 
 class ClientLinks;
 
+// One client link. The event loop and its ClientLinks hold it; whoever answers its message may hold it too.
 class ClientLink : public park::Guest, public std::enable_shared_from_this<ClientLink> {
  public:
+  // `socket` is connected. The link is not watched until ClientLinks registers it with the event loop.
   ClientLink(Socket socket, ClientSide& side, ClientLinks& links);
 
-  // The answer to the message that the front has taken. `worked`: it was a query for workers. Any thread;
-  // does not block: what the client does not take at once goes out as it does.
-  void reply(int status, std::string_view fields, std::string_view body, bool closes, bool worked);
+  // Sends the response to the message that the frontend has taken. `fields` are complete header lines,
+  // `closes` ends the link after the response, `is_query` says that the message was a query for workers. May
+  // be called on any thread; does not block: what the socket does not accept at once is sent as it becomes
+  // writable.
+  void reply(int status, std::string_view fields, std::string_view body, bool closes, bool is_query);
 
  private:
   friend class ClientLinks;
 
   void ready(park::Signs signs) override;
   void late() override;
-  void read();
-  bool take_bytes();
-  void hand_over();
-  void await_more(double now, bool came);
-  void go_on_at(double when, bool came);
-  void write_on();
-  void sent(bool closes, bool worked);
-  void reject(int status, std::string_view why);
-  void take_rest();
+  void read_message();
+  bool read_available();
+  void dispatch_message();
+  void wait_for_bytes(double now, bool received);
+  void schedule_read(double when, bool received);
+  void send_pending();
+  void finish_reply(bool closes, bool is_query);
+  void reject(int status, std::string_view reason);
+  void discard_input();
 
-  // Both may be gone once over_ is set.
+  // Both may be destroyed once closed_ is set.
   ClientSide& side_;
   ClientLinks& links_;
-  const std::shared_ptr<std::mutex> mutex_;  // of links_, and outlives it
+  const std::shared_ptr<std::mutex> mutex_;  // shared with links_, and outlives it
   Socket socket_;
-  // The park's thread's own:
+  // Used on the event loop's thread only:
   MessageReader reader_;
-  const double opened_;
-  double until_ = 0, last_ = 0;          // when what is being read must go on, and be whole
-  bool reads_ = false;                   // a part of the next message has come
-  double arrived_ = 0;                   // when the bytes that were read last had come
-  std::optional<double> waiting_since_;  // bytes came while a message was at work, and are not all read
-  bool hung_up_ = false;                 // the client has ended its side
-  // Of whoever answers, then the park's thread's again:
-  std::string out_;  // what is still to go of the answer
-  bool closes_after_ = false, worked_after_ = false;
-  // Under the mutex:
+  const double opened_at_;
+  // When more of the message must have arrived (also ends lingering), and when all of it must have.
+  double read_deadline_ = 0, message_deadline_ = 0;
+  bool reading_ = false;    // the time limits of the next message are running
+  double received_at_ = 0;  // arrival time of the bytes that were read last
+  std::optional<double>
+      unread_since_;          // bytes arrived during processing of a message and are not all read yet
+  bool peer_closed_ = false;  // the client has shut down its side
+  // Used by the thread that calls reply(), and after that on the event loop's thread:
+  std::string unsent_;  // the remainder of the response
+  bool close_when_sent_ = false, unsent_is_query_ = false;
+  // Guarded by the mutex:
   ConnectionState state_ = ConnectionState::fresh;
-  bool at_work_ = false;  // the front has its message
-  bool unheard_ = false;  // bytes came meanwhile
-  bool writing_ = false;  // out_ is on its way
-  bool over_ = false;
-  bool served_ = false;  // a whole message of it was answered
-  bool worked_ = false;  // one of them a query for workers
-  double moved_ = 0;     // when it came to stand so, or its last byte since
-  std::shared_ptr<Errand> errand_;
-  std::list<std::shared_ptr<ClientLink>>::iterator place_;
+  bool processing_ = false;       // the frontend has its message
+  bool input_signalled_ = false;  // bytes arrived meanwhile
+  bool writing_ = false;          // unsent_ is being sent
+  bool closed_ = false;
+  bool answered_ = false;       // it has carried a complete message that was answered
+  bool carried_query_ = false;  // one of them was a query for workers
+  double state_since_ = 0;      // when it entered its state, or received its newest byte in it
+  std::shared_ptr<Errand> pending_request_;
+  std::list<std::shared_ptr<ClientLink>>::iterator position_;
   park::Park::Token token_ = park::Park::kNone;
 };
 
--- a/src/net/client_links.cpp
+++ b/src/net/client_links.cpp
@@ -13,276 +13,291 @@
 namespace woadtide::net {
 
 namespace {
-constexpr int kMostWaiting = 1024;  // links that the machine may hold for us
-constexpr int kAtOnce = 32;         // accepts before others in the park have their turn
-constexpr double kSilentMs = 400;   // a query that comes in pieces may pause for so long
-// An evacuation: the front asks every 0.1 s whether we are ready and deals out links for 0.2 s after the
-// first no. Links stay open for that long: closed sooner, their clients would be sent here again. By 4 s none
-// may be idle or have a query of the last 2 s.
-constexpr double kSweepMs = 50;
-constexpr double kFrontMs = 400;
-constexpr double kLastFirstMs = 1'500;  // then a link that has not brought its first query goes too
-constexpr double kFirstMs = 500;        // but for those that have just come, as health checks do
-// For a client to close behind the last word to it. With first_ms it keeps what a client that sends nothing
-// good is owed, an error or a close in 3 s, and leaves something for a late accept.
-constexpr double kLastWordMs = 500;
+constexpr int kMaxFinalAccepts = 1024;        // the most connections that the kernel's queue may hold for us
+constexpr int kMaxAcceptsPerTurn = 32;        // then other handlers of the event loop have their turn
+constexpr double kMinSilenceToEvictMs = 400;  // a query that arrives in pieces may pause for this long
+// Timing of an evacuation. The load balancer in front of us asks every 0.1 s whether we are ready, and goes
+// on assigning links to us for 0.2 s after the first negative answer. Links stay open for that long: if they
+// were closed sooner, their clients would be sent here again. By 4 s after the start no link may be idle or
+// have a query of the last 2 s.
+constexpr double kSweepIntervalMs = 50;
+constexpr double kBalancerNoticeMs = 400;
+// After this, links without a byte of their first query are closed too, unless they are younger than
+// kMinFreshAgeMs, as the links of health checks are.
+constexpr double kCloseFreshAfterMs = 1'500;
+constexpr double kMinFreshAgeMs = 500;
+// How long a client has to close after our side is shut down. A client that sends nothing valid is owed an
+// error or a close within 3 s: first_ms and this time stay below that and leave a margin for a late accept.
+constexpr double kLingerMs = 500;
 }  // namespace
 
-ClientLinks::ClientLinks(Socket listener, std::size_t most, ClientSide& side)
+ClientLinks::ClientLinks(Socket listener, std::size_t max_links, ClientSide& side)
     : side_(side),
-      most_(most),
+      max_links_(max_links),
       listener_(std::move(listener)),
       port_(listener_.port()),
-      last_accepts_(kMostWaiting) {
-  // A client that gave up between the park's word and accept must not block it.
+      final_accepts_left_(kMaxFinalAccepts) {
+  // Otherwise accept() would block if the client gave up between the event loop's notification and the call.
   ::fcntl(listener_.fd(), F_SETFL, O_NONBLOCK);
-  looks_ = side_.park.enter(*this, -1);
+  timer_token_ = side_.park.enter(*this, -1);
 }
 
-void ClientLinks::start() { listens_ = side_.park.enter(*this, listener_.fd()); }
+void ClientLinks::start() { listener_token_ = side_.park.enter(*this, listener_.fd()); }
 
 ClientLinks::~ClientLinks() { stop(); }
 
-// What is at work may still be answered: to nobody.
+// Messages that are being processed may still be answered; the response then goes nowhere.
 void ClientLinks::stop() {
-  side_.park.leave(listens_);
-  side_.park.leave(looks_);
-  side_.park.quiesce();  // a look that runs may still accept
+  side_.park.leave(listener_token_);
+  side_.park.leave(timer_token_);
+  side_.park.quiesce();  // a sweep_and_accept() that is running may still accept
   {
     const std::lock_guard lock(*mutex_);
     for (Links& links : links_)
-      while (!links.empty()) drop(*links.front());
+      while (!links.empty()) remove_link(*links.front());
   }
   side_.park.quiesce();
 }
 
 void ClientLinks::stop_accepting() {
   side_.draining = true;
-  evacuated_at_ = side_.clock.now() - kLastFirstMs;
+  evacuating_since_ = side_.clock.now() - kCloseFreshAfterMs;
   stopping_ = true;
-  side_.park.poke(looks_, {});
+  side_.park.poke(timer_token_, {});
 }
 
 void ClientLinks::leave_to_other() {
-  left_to_other_ = true;
+  left_to_sibling_ = true;
   side_.draining = true;
-  evacuated_at_ = side_.clock.now() - kFrontMs;
+  evacuating_since_ = side_.clock.now() - kBalancerNoticeMs;
   stopping_ = true;
-  side_.park.poke(looks_, {});
+  side_.park.poke(timer_token_, {});
 }
 
-void ClientLinks::set_most(std::size_t most) {
-  most_ = most;
-  side_.park.poke(looks_, {});
+void ClientLinks::set_most(std::size_t max_links) {
+  max_links_ = max_links;
+  side_.park.poke(timer_token_, {});
 }
 
 void ClientLinks::evacuate() {
-  double never = 0;
+  double not_evacuating = 0;
   side_.draining = true;
-  evacuated_at_.compare_exchange_strong(never, side_.clock.now());  // said again it does not begin anew
-  side_.park.poke(looks_, {});
+  evacuating_since_.compare_exchange_strong(not_evacuating,
+                                            side_.clock.now());  // a repeated call does not restart it
+  side_.park.poke(timer_token_, {});
 }
 
 void ClientLinks::activate() {
-  evacuated_at_ = 0;
+  evacuating_since_ = 0;
   if (!stopping_) side_.draining = false;
 }
 
 std::size_t ClientLinks::open() {
   const std::lock_guard lock(*mutex_);
-  return open_here();
+  return open_links();
 }
 
 std::size_t ClientLinks::count(ConnectionState state) {
   const std::lock_guard lock(*mutex_);
-  return at(state).size();
+  return in_state(state).size();
 }
 
-double ClientLinks::last_moved(ConnectionState state) {
+double ClientLinks::last_activity(ConnectionState state) {
   const std::lock_guard lock(*mutex_);
-  return at(state).empty() ? 0 : at(state).back()->moved_;
+  return in_state(state).empty() ? 0 : in_state(state).back()->state_since_;
 }
 
-std::size_t ClientLinks::open_here() const {
+std::size_t ClientLinks::open_links() const {
   std::size_t open = 0;
   for (const Links& links : links_) open += links.size();
   return open;
 }
 
-// Where links stand, under the mutex ---------------------------------------------------------------------
+// State of links; the mutex is held ----------------------------------------------------------------------
 
-// What has just been read of a link may be of one that stop() has dropped meanwhile.
-void ClientLinks::put(ClientLink& link, ConnectionState state) {
-  if (link.over_) return;
-  at(state).splice(at(state).end(), at(link.state_), link.place_);
+// The link may have been removed by stop() while its bytes were being read.
+void ClientLinks::set_state(ClientLink& link, ConnectionState state) {
+  if (link.closed_) return;
+  in_state(state).splice(in_state(state).end(), in_state(link.state_), link.position_);
   link.state_ = state;
-  link.moved_ = side_.clock.now();
-  if (state != ConnectionState::busy) tell_waiting();  // it can give way now
+  link.state_since_ = side_.clock.now();
+  if (state != ConnectionState::busy) wake_waiting_accept();  // it may be evicted now
 }
 
-void ClientLinks::tell_waiting() {
-  if (std::exchange(waits_, false)) side_.park.poke(looks_, {});
+void ClientLinks::wake_waiting_accept() {
+  if (std::exchange(accept_waiting_, false)) side_.park.poke(timer_token_, {});
 }
 
-// The one way in which we end a link that its client has not: our side is shut, and what still comes is read
-// and passed over, until the client has closed or has had its time. Closed at once, bytes that come in that
-// moment would reset the link under an answer that is on its way.
-void ClientLinks::linger(ClientLink& link) {
-  if (link.over_) return;
+// The only way in which we end a link that its client has not closed: our side is shut down, and input is
+// read and discarded until the client closes or its time is up. If the socket were closed at once, bytes that
+// arrive at that moment would reset the connection while a response is still on its way.
+void ClientLinks::begin_linger(ClientLink& link) {
+  if (link.closed_) return;
   link.socket_.shut(SHUT_WR);
-  link.at_work_ = false;
-  link.until_ = side_.clock.now() + kLastWordMs;
-  put(link, ConnectionState::lingering);
-  side_.park.wake_at(link.token_, link.until_);
+  link.processing_ = false;
+  link.read_deadline_ = side_.clock.now() + kLingerMs;
+  set_state(link, ConnectionState::lingering);
+  side_.park.wake_at(link.token_, link.read_deadline_);
   side_.park.poke(link.token_, {.readable = true});
 }
 
-void ClientLinks::drop(ClientLink& link) {
-  if (std::exchange(link.over_, true)) return;
-  tell_waiting();
-  link.errand_.reset();
+void ClientLinks::remove_link(ClientLink& link) {
+  if (std::exchange(link.closed_, true)) return;
+  wake_waiting_accept();
+  link.pending_request_.reset();
   side_.park.leave(link.token_);
-  at(link.state_).erase(link.place_);
+  in_state(link.state_).erase(link.position_);
 }
 
-// The park's thread ---------------------------------------------------------------------------------------
+// On the event loop's thread ------------------------------------------------------------------------------
 
-void ClientLinks::ready(park::Signs) { look(); }
-void ClientLinks::late() { look(); }
+void ClientLinks::ready(park::Signs) { sweep_and_accept(); }
+void ClientLinks::late() { sweep_and_accept(); }
 
-void ClientLinks::look() {
-  // One look at the clock for both: nothing that falls due between them is overslept.
+void ClientLinks::sweep_and_accept() {
+  // One time for both: with a second reading of the clock, what falls due between the two would be missed.
   const double now = side_.clock.now();
-  if (evacuated_at_ > 0) side_.park.wake_at(looks_, now + kSweepMs);
+  if (evacuating_since_ > 0) side_.park.wake_at(timer_token_, now + kSweepIntervalMs);
   sweep(now);
-  if (listener_) accept_waiting();
+  if (listener_) accept_pending();
 }
 
-// Told to listen no more, it takes what the machine has accepted: it is answered like all else. Not without
-// end, where clients connect as fast as they are turned away. Closed, not shut down: another process may
-// listen there too.
-void ClientLinks::accept_waiting() {
-  const bool last = stopping_;
-  Accepted accepted = left_to_other_ ? Accepted::none : Accepted::one;
-  for (int left = kAtOnce; left > 0 && accepted == Accepted::one; --left) {
-    if (last && last_accepts_-- == 0) accepted = Accepted::none;
-    if (accepted == Accepted::one) accepted = make_room();
-    if (accepted == Accepted::one) accepted = accept_one();
+// After stop_accepting() it accepts what the kernel has queued, which is answered like everything else. This
+// is bounded, because clients may connect as fast as they are turned away. The listening socket is closed and
+// not shut down: another process may listen on it too.
+void ClientLinks::accept_pending() {
+  const bool stopping = stopping_;
+  AcceptResult result = left_to_sibling_ ? AcceptResult::none_pending : AcceptResult::accepted;
+  for (int accepts_left = kMaxAcceptsPerTurn; accepts_left > 0 && result == AcceptResult::accepted;
+       --accepts_left) {
+    if (stopping && final_accepts_left_-- == 0) result = AcceptResult::none_pending;
+    if (result == AcceptResult::accepted) result = make_room();
+    if (result == AcceptResult::accepted) result = accept_one();
   }
-  if (accepted == Accepted::later) side_.park.wake_at(looks_, side_.clock.now() + kAcceptAgainMs);
-  if (accepted == Accepted::one) side_.park.poke(looks_, {});
-  if (accepted == Accepted::none && last) {
-    side_.park.leave(listens_);
+  if (result == AcceptResult::retry_later)
+    side_.park.wake_at(timer_token_, side_.clock.now() + kAcceptAgainMs);
+  if (result == AcceptResult::accepted) side_.park.poke(timer_token_, {});
+  if (result == AcceptResult::none_pending && stopping) {
+    side_.park.leave(listener_token_);
     listener_ = Socket{};
   }
 }
 
 void ClientLinks::sweep(double now) {
-  const double since = evacuated_at_;
+  const double evacuating_since = evacuating_since_;
   {
     const std::lock_guard lock(*mutex_);
-    while (open_here() > most_ && shed_one()) {
+    while (open_links() > max_links_ && evict_one()) {
     }
-    if (since <= 0 || now < since + kFrontMs) return;
-    for (const ConnectionState state : {ConnectionState::idle, ConnectionState::asked})
-      close_quiet(state, now);
-    if (now >= since + kLastFirstMs) close_quiet(ConnectionState::fresh, now - kFirstMs);
+    if (evacuating_since <= 0 || now < evacuating_since + kBalancerNoticeMs) return;
+    for (const ConnectionState state : {ConnectionState::idle, ConnectionState::idle_no_query})
+      close_silent(state, now);
+    if (now >= evacuating_since + kCloseFreshAfterMs)
+      close_silent(ConnectionState::fresh, now - kMinFreshAgeMs);
   }
-  if (now > side_.read_until) refuse_half();
+  if (now > side_.read_until) reject_partial_messages();
 }
 
-// Half a query is told that no more of it will be taken.
-void ClientLinks::refuse_half() {
-  std::vector<std::shared_ptr<ClientLink>> halves;
+// Rejects the messages that have arrived in part: no more of them will be read.
+void ClientLinks::reject_partial_messages() {
+  std::vector<std::shared_ptr<ClientLink>> partial;
   {
     const std::lock_guard lock(*mutex_);
     for (const ConnectionState state : {ConnectionState::reading, ConnectionState::busy})
-      for (const auto& link : at(state))
-        if (!link->at_work_ && link->socket_.quiet()) halves.push_back(link);
+      for (const auto& link : in_state(state))
+        if (!link->processing_ && link->socket_.quiet()) partial.push_back(link);
   }
-  for (const auto& link : halves) link->reject(503, "clients are sent away");
+  for (const auto& link : partial) link->reject(503, "clients are sent away");
 }
 
-// Under the mutex. One whose bytes have come is left: its query is answered, and its link closed by that.
-void ClientLinks::close_quiet(ConnectionState state, double opened_before) {
-  for (auto it = at(state).begin(); it != at(state).end();) {
+// The mutex is held. Skips links on which bytes have arrived: the response to their query closes them.
+void ClientLinks::close_silent(ConnectionState state, double opened_before) {
+  for (auto it = in_state(state).begin(); it != in_state(state).end();) {
     ClientLink& link = **it++;
-    if (link.opened_ <= opened_before && link.socket_.quiet()) linger(link);
+    if (link.opened_at_ <= opened_before && link.socket_.quiet()) begin_linger(link);
   }
 }
 
-ClientLinks::Accepted ClientLinks::accept_one() {
+ClientLinks::AcceptResult ClientLinks::accept_one() {
   Socket socket{Fd(::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
-  if (!socket) return refused_by_machine(errno);
+  if (!socket) return handle_accept_error(errno);
   socket.set_no_delay();
   const auto link = std::make_shared<ClientLink>(std::move(socket), side_, *this);
   const std::lock_guard lock(*mutex_);
-  link->moved_ = link->opened_;
-  link->place_ = at(ConnectionState::fresh).insert(at(ConnectionState::fresh).end(), link);
+  link->state_since_ = link->opened_at_;
+  link->position_ = in_state(ConnectionState::fresh).insert(in_state(ConnectionState::fresh).end(), link);
   try {
     link->token_ = side_.park.enter(link, link->socket_.fd());
-  } catch (const std::exception& failed) {
-    core::log_line(std::string("acceptor: ") + failed.what());
-    drop(*link);
-    return Accepted::one;
+  } catch (const std::exception& error) {
+    core::log_line(std::string("acceptor: ") + error.what());
+    remove_link(*link);
+    return AcceptResult::accepted;
   }
-  side_.park.wake_at(link->token_, link->until_);
-  return Accepted::one;
+  side_.park.wake_at(link->token_, link->read_deadline_);
+  return AcceptResult::accepted;
 }
 
-// Where the machine gives no connection, it is not asked again and again: the client waits in its queue.
-ClientLinks::Accepted ClientLinks::refused_by_machine(int error) {
-  const AcceptError why = accept_error(error);
-  if (why != AcceptError::machine) return why == AcceptError::nobody ? Accepted::none : Accepted::one;
-  const bool no_room = error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
-  if (no_room_.due(side_.clock.now()))
-    core::log_line(no_room ? "acceptor: out of descriptors or memory"
-                           : "acceptor: " + std::generic_category().message(error));
-  return Accepted::later;
+// If the system is out of resources, accept() is not retried at once: the client waits in the kernel's queue.
+ClientLinks::AcceptResult ClientLinks::handle_accept_error(int error) {
+  const AcceptError kind = accept_error(error);
+  if (kind != AcceptError::machine)
+    return kind == AcceptError::nobody ? AcceptResult::none_pending : AcceptResult::accepted;
+  const bool out_of_resources = error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
+  if (accept_error_log_.due(side_.clock.now()))
+    core::log_line(out_of_resources ? "acceptor: out of descriptors or memory"
+                                    : "acceptor: " + std::generic_category().message(error));
+  return AcceptResult::retry_later;
 }
 
-// Accepted::one where there is room, full where all links have a query at work: new ones wait. At the edge
-// links go first that asked for health at some time and stayed, then those that are silent and never
-// completed a query: clients that connect by the hundred and say nothing, or half a head, must not push out
-// those that are served, nor those whose query is coming in. Then those that only wait for their client to
-// close, and served ones, longest idle first.
-ClientLinks::Accepted ClientLinks::make_room() {
+// AcceptResult::accepted: there is room for one more link. all_busy: every link has a query being processed
+// or arriving, and new connections wait. At the limit links are evicted in this order: links that were
+// answered but never carried a query (health checks that stayed), then links that are silent and never
+// completed a message. Clients that connect by the hundred and send nothing, or half a head, must not
+// displace links that are being served, nor those whose query is arriving. After them come links that only
+// wait for their client to close, then answered links without a query whatever their age, links that served
+// queries, longest idle first, and at last silent links whatever their age.
+ClientLinks::AcceptResult ClientLinks::make_room() {
   const std::lock_guard lock(*mutex_);
-  if (open_here() < most_) return Accepted::one;
-  // Nobody gives way before somebody waits; nor is one that comes behind this look taken without a place.
-  if (wait_for(listener_.fd(), POLLIN, -1, 0, side_.clock).first == 0) return Accepted::none;
-  if (all_open_.due(side_.clock.now()))
-    core::log_line("acceptor: all " + std::to_string(most_) + " client links are open, " +
-                   std::to_string(at(ConnectionState::fresh).size() + at(ConnectionState::reading).size()) +
-                   " unserved, " +
-                   std::to_string(at(ConnectionState::asked).size() + at(ConnectionState::idle).size()) +
-                   " idle");
-  waits_ = !shed_one() || open_here() >= most_;
-  return waits_ ? Accepted::full : Accepted::one;
+  if (open_links() < max_links_) return AcceptResult::accepted;
+  // No link is evicted unless a connection waits; and one that arrives after this check is not accepted, as
+  // there is no place for it yet.
+  if (wait_for(listener_.fd(), POLLIN, -1, 0, side_.clock).first == 0) return AcceptResult::none_pending;
+  if (all_open_log_.due(side_.clock.now()))
+    core::log_line(
+        "acceptor: all " + std::to_string(max_links_) + " client links are open, " +
+        std::to_string(in_state(ConnectionState::fresh).size() + in_state(ConnectionState::reading).size()) +
+        " unserved, " +
+        std::to_string(in_state(ConnectionState::idle_no_query).size() +
+                       in_state(ConnectionState::idle).size()) +
+        " idle");
+  accept_waiting_ = !evict_one() || open_links() >= max_links_;
+  return accept_waiting_ ? AcceptResult::all_busy : AcceptResult::accepted;
 }
 
-bool ClientLinks::shed_one() {
+// Closes one link to make room; see make_room() for the order. False if every link is in use.
+bool ClientLinks::evict_one() {
   const double now = side_.clock.now();
-  const auto oldest = [this](ConnectionState state, double moved_before) {
-    const Links& links = at(state);
-    return !links.empty() && links.front()->moved_ <= moved_before ? links.front().get() : nullptr;
+  const auto oldest = [this](ConnectionState state, double active_before) {
+    const Links& links = in_state(state);
+    return !links.empty() && links.front()->state_since_ <= active_before ? links.front().get() : nullptr;
   };
-  ClientLink* shed = oldest(ConnectionState::asked, now - kSilentMs);
-  if (!shed) shed = unserved(now - kSilentMs);
-  if (!shed) shed = oldest(ConnectionState::lingering, now);
-  if (!shed) shed = oldest(ConnectionState::asked, now);
-  if (!shed) shed = oldest(ConnectionState::idle, now);
-  if (!shed) shed = unserved(now);
-  if (shed) drop(*shed);
-  return shed;
+  ClientLink* victim = oldest(ConnectionState::idle_no_query, now - kMinSilenceToEvictMs);
+  if (!victim) victim = longest_silent_unserved(now - kMinSilenceToEvictMs);
+  if (!victim) victim = oldest(ConnectionState::lingering, now);
+  if (!victim) victim = oldest(ConnectionState::idle_no_query, now);
+  if (!victim) victim = oldest(ConnectionState::idle, now);
+  if (!victim) victim = longest_silent_unserved(now);
+  if (victim) remove_link(*victim);
+  return victim;
 }
 
-// The longest silent one. One whose bytes have come, but were not read yet, is not silent.
-ClientLink* ClientLinks::unserved(double moved_before) {
+// The longest silent link that has not completed a message, or null. A link with bytes that were not read yet
+// is not silent.
+ClientLink* ClientLinks::longest_silent_unserved(double active_before) {
   ClientLink* found = nullptr;
   for (const ConnectionState state : {ConnectionState::fresh, ConnectionState::reading})
-    for (const auto& link : at(state)) {
-      if (link->moved_ > moved_before || (found && found->moved_ <= link->moved_)) break;
+    for (const auto& link : in_state(state)) {
+      if (link->state_since_ > active_before || (found && found->state_since_ <= link->state_since_)) break;
       if (!link->socket_.quiet()) continue;
       found = link.get();
       break;
--- a/src/net/client_links.hpp
+++ b/src/net/client_links.hpp
@@ -1,4 +1,5 @@
-// All client links of one front, and the listener that they come by.
+// All client links of one protocol frontend, and the listening socket that accepts them: limits the number of
+// links, closes idle ones to make room, and sends clients away when the process drains or ends.
 #pragma once
 
 #include <array>
@@ -15,75 +16,79 @@
 
 class ClientLinks : private park::Guest {
  public:
-  // At most `most` links at once; each holds one descriptor. Accepts from start() on.
-  ClientLinks(Socket listener, std::size_t most, ClientSide& side);
+  // Allows at most `max_links` links at once; each uses one descriptor. Accepts only after start(). Throws
+  // std::system_error.
+  ClientLinks(Socket listener, std::size_t max_links, ClientSide& side);
   ~ClientLinks() override;
   ClientLinks(const ClientLinks&) = delete;
   ClientLinks& operator=(const ClientLinks&) = delete;
 
+  // Begins to accept. Throws std::system_error.
   void start();
-  // Ends all links and the listener at once; also the destructor does.
+  // Closes all links immediately and stops watching the listening socket. The destructor calls it too.
   void stop();
-  // Takes what the machine has accepted for us by now, then listens no more and closes links as they fall
-  // idle. Links with a query at work stay until it is answered.
+  // Accepts what waits in the kernel's queue by now, then closes the listening socket, and closes links as
+  // they become idle. Links whose query is being processed stay open until it is answered.
   void stop_accepting();
-  // The same, but whoever listens at the same socket takes what waits there.
+  // Like stop_accepting(), but leaves the queue to the sibling process that listens on the same socket.
   void leave_to_other();
-  // Another bound on links from here on: those over it go as far as no query is at work on them.
-  void set_most(std::size_t most);
-  // Sends clients away without an end: answers close their links, and links are closed as they fall idle,
-  // once the front has heard that we are not ready. The listener stays open. Again, or the other way, at any
-  // time.
+  // Changes the limit on links. Those above it are closed, except where a query is being processed.
+  void set_most(std::size_t max_links);
+  // Sends clients away without ending the process: responses close their links, and idle links are closed
+  // once the load balancer in front of us has seen that we are not ready. The listening socket stays open.
+  // evacuate() and activate() may be called repeatedly, in any order.
   void evacuate();
   void activate();
+  // Number of open links, lingering ones included.
   std::size_t open();
   std::size_t count(ConnectionState state);
-  // When the last link of those that stand so came to, or its last byte since; 0 where there is none.
-  double last_moved(ConnectionState state);
+  // When the newest link in this state entered it, or received its newest byte in it (ms on the clock); 0 if
+  // no link is in this state.
+  double last_activity(ConnectionState state);
   int port() const { return port_; }
 
  private:
   friend class ClientLink;
   using Links = std::list<std::shared_ptr<ClientLink>>;
 
-  // Of links, under the mutex: where one stands from now on; it has said all and waits for its client to
-  // close; it is over, as its client has gone, its time is up or its place is needed, and is closed with the
-  // last that holds it.
-  void put(ClientLink& link, ConnectionState state);
-  void linger(ClientLink& link);
-  void drop(ClientLink& link);
-  void tell_waiting();
+  // Changes of one link; the mutex is held. set_state() records its new state. begin_linger() shuts down our
+  // side and waits for the client to close. remove_link() ends it: the client has closed, its time is up or
+  // its place is needed. Its socket is closed with the last reference to it.
+  void set_state(ClientLink& link, ConnectionState state);
+  void begin_linger(ClientLink& link);
+  void remove_link(ClientLink& link);
+  void wake_waiting_accept();
 
-  // On the park's thread.
+  // On the event loop's thread.
   void ready(park::Signs signs) override;
   void late() override;
-  void look();
-  void accept_waiting();
+  void sweep_and_accept();
+  void accept_pending();
   void sweep(double now);
-  void close_quiet(ConnectionState state, double opened_before);
-  void refuse_half();
-  enum class Accepted { one, none, full, later };
-  Accepted accept_one();
-  Accepted refused_by_machine(int error);
-  Accepted make_room();
-  ClientLink* unserved(double moved_before);
-  bool shed_one();
-  std::size_t open_here() const;
-  Links& at(ConnectionState state) { return links_[static_cast<std::size_t>(state)]; }
+  void close_silent(ConnectionState state, double opened_before);
+  void reject_partial_messages();
+  enum class AcceptResult { accepted, none_pending, all_busy, retry_later };
+  AcceptResult accept_one();
+  AcceptResult handle_accept_error(int error);
+  AcceptResult make_room();
+  ClientLink* longest_silent_unserved(double active_before);
+  bool evict_one();
+  std::size_t open_links() const;
+  Links& in_state(ConnectionState state) { return links_[static_cast<std::size_t>(state)]; }
 
   ClientSide& side_;
-  std::atomic<std::size_t> most_;
+  std::atomic<std::size_t> max_links_;
   Socket listener_;
   const int port_;
-  std::atomic<bool> stopping_{false}, left_to_other_{false};
-  std::atomic<double> evacuated_at_{0};  // 0: not at all
+  std::atomic<bool> stopping_{false}, left_to_sibling_{false};
+  std::atomic<double> evacuating_since_{0};  // 0: not evacuating
   const std::shared_ptr<std::mutex> mutex_ = std::make_shared<std::mutex>();
-  // By state, each in the order in which they came to stand so: no walk through all of them at an accept.
+  // One list per state, ordered by state_since_, so that accepting needs no scan over all links.
   std::array<Links, 6> links_;
-  bool waits_ = false;  // one waits for a place
-  core::Seldom all_open_, no_room_;
-  int last_accepts_;  // that are still made once we are to listen no more
-  park::Park::Token listens_ = park::Park::kNone, looks_ = park::Park::kNone;
+  bool accept_waiting_ = false;  // a connection waits for a link to be closed
+  core::Seldom all_open_log_, accept_error_log_;
+  int final_accepts_left_;  // accepts still allowed after stop_accepting()
+  park::Park::Token listener_token_ = park::Park::kNone, timer_token_ = park::Park::kNone;
 };
 
 }  // namespace woadtide::net
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr std::size_t kMostFields = 100;
-constexpr std::size_t kMostSizeLine = 256;
+constexpr std::size_t kMaxFields = 100;
+constexpr std::size_t kMaxChunkLineBytes = 256;
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
 
@@ -19,8 +19,8 @@
   return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'z') ||
          (c != 0 && std::strchr("!#$%&'*+-.^_`|~", c) != nullptr);
 }
-// Control characters have no place in a head: passed on, they could split a worker's. What is not ASCII each
-// reader takes in its own way.
+// Control characters are not allowed in a head: if they were forwarded, they could split the head that a
+// worker reads. Bytes beyond ASCII are not allowed either, since implementations interpret them differently.
 bool is_clean(std::string_view text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c == '\t' || (c >= ' ' && c <= '~'); });
 }
@@ -31,24 +31,24 @@
   return text;
 }
 
-// Cuts off `text` up to `end` and returns what stood before it.
+// Removes the part of `text` up to and including `end`, and returns that part without `end`.
 std::string_view cut(std::string_view& text, std::string_view end) {
-  const std::size_t at = text.find(end);
-  const std::string_view before = text.substr(0, at);
-  text.remove_prefix(at == std::string_view::npos ? text.size() : at + end.size());
+  const std::size_t end_pos = text.find(end);
+  const std::string_view before = text.substr(0, end_pos);
+  text.remove_prefix(end_pos == std::string_view::npos ? text.size() : end_pos + end.size());
   return before;
 }
 
 void read_version(Head& head, std::string_view version) {
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") throw BadMessage(400, "not HTTP/1.1");
+  if (version != "HTTP/1.1" && version != "HTTP/1.0") throw BadMessage(400, "unsupported HTTP version");
   head.http10 = version == "HTTP/1.0";
 }
 
-void read_fields(Head& head, std::string_view rest) {
-  while (!rest.empty()) {
-    const std::string_view line = cut(rest, "\r\n");
+void read_fields(Head& head, std::string_view lines) {
+  while (!lines.empty()) {
+    const std::string_view line = cut(lines, "\r\n");
     if (line.empty()) break;
-    if (head.fields.size() == kMostFields) throw BadMessage(431, "too many header fields");
+    if (head.fields.size() == kMaxFields) throw BadMessage(431, "too many header fields");
     const std::size_t colon = line.find(':');
     if (colon == std::string_view::npos || !is_token(line.substr(0, colon)) || !is_clean(line))
       throw BadMessage(400, "malformed header field");
@@ -56,19 +56,21 @@
   }
 }
 
-bool closes(const Head& head) {
+bool closes_link(const Head& head) {
   return head.connection_names("close") || (head.http10 && !head.connection_names("keep-alive"));
 }
 
-// Where two readers could see two lengths, a second message could hide in the first: that is refused.
-std::optional<Framing> told_framing(const Head& head) {
+// The framing that the header fields declare; nullopt if they declare none. Throws BadMessage if two
+// implementations could see two lengths: a second message could then be smuggled in the body of the first.
+std::optional<Framing> declared_framing(const Head& head) {
   Framing framing;
-  framing.closes = closes(head);
+  framing.closes = closes_link(head);
   std::optional<std::uint64_t> length;
   bool chunked = false;
   for (const Field& field : head.fields) {
     if (same_name(field.name, "Transfer-Encoding")) {
-      if (chunked || !same_name(field.value, "chunked")) throw BadMessage(400, "unknown transfer encoding");
+      if (chunked || !same_name(field.value, "chunked"))
+        throw BadMessage(400, "unsupported Transfer-Encoding");
       chunked = true;
     } else if (same_name(field.name, "Content-Length")) {
       const auto value = whole_number(field.value);
@@ -110,16 +112,16 @@
 bool Head::connection_names(std::string_view name) const {
   for (const Field& field : fields) {
     if (!same_name(field.name, "Connection")) continue;
-    for (std::string_view rest = field.value; !rest.empty();)
-      if (same_name(trimmed(cut(rest, ",")), name)) return true;
+    for (std::string_view options = field.value; !options.empty();)
+      if (same_name(trimmed(cut(options, ",")), name)) return true;
   }
   return false;
 }
 
 std::size_t head_length(std::string_view raw) {
-  const std::size_t end = raw.substr(0, kMostHead).find("\r\n\r\n");
+  const std::size_t end = raw.substr(0, kMaxHeadBytes).find("\r\n\r\n");
   if (end != std::string_view::npos) return end + 4;
-  if (raw.size() >= kMostHead) throw BadMessage(431, "head too large");
+  if (raw.size() >= kMaxHeadBytes) throw BadMessage(431, "head too large");
   return 0;
 }
 
@@ -147,62 +149,63 @@
 }
 
 Framing framing_of_query(const Head& head) {
-  const Framing framing = told_framing(head).value_or(Framing{Framing::Kind::length, 0, closes(head)});
-  if (framing.length > kMostBody) throw BadMessage(413, "body over 64 KiB");
+  const Framing framing =
+      declared_framing(head).value_or(Framing{Framing::Kind::length, 0, closes_link(head)});
+  if (framing.length > kMaxBodyBytes) throw BadMessage(413, "body over 64 KiB");
   return framing;
 }
 
 Framing framing_of_answer(const Head& head) {
   if (head.status < 200 || head.status == 204 || head.status == 304)
-    return {Framing::Kind::length, 0, closes(head)};
-  return told_framing(head).value_or(Framing{Framing::Kind::to_end, 0, true});
+    return {Framing::Kind::length, 0, closes_link(head)};
+  return declared_framing(head).value_or(Framing{Framing::Kind::to_end, 0, true});
 }
 
 BodyDecoder::BodyDecoder(const Framing& framing)
-    : chunked_(framing.kind == Framing::Kind::chunked), left_(framing.length) {
+    : chunked_(framing.kind == Framing::Kind::chunked), remaining_(framing.length) {
   if (chunked_)
     state_ = State::size_line;
   else if (framing.kind == Framing::Kind::to_end)
-    state_ = State::to_end;
+    state_ = State::until_close;
   else
-    state_ = left_ == 0 ? State::over : State::data;
+    state_ = remaining_ == 0 ? State::complete : State::data;
 }
 
 std::size_t BodyDecoder::feed(std::string_view raw, const std::function<void(std::string_view)>& sink) {
   std::size_t used = 0;
-  while (used < raw.size() && state_ != State::over) {
+  while (used < raw.size() && state_ != State::complete) {
     const std::string_view rest = raw.substr(used);
-    if (state_ == State::to_end) {
+    if (state_ == State::until_close) {
       sink(rest);
       return raw.size();
     }
     if (state_ == State::data || state_ == State::chunk) {
-      const auto take = static_cast<std::size_t>(std::min<std::uint64_t>(left_, rest.size()));
-      sink(rest.substr(0, take));
-      used += take;
-      left_ -= take;
-      if (left_ == 0) state_ = state_ == State::data ? State::over : State::chunk_end;
+      const auto taken = static_cast<std::size_t>(std::min<std::uint64_t>(remaining_, rest.size()));
+      sink(rest.substr(0, taken));
+      used += taken;
+      remaining_ -= taken;
+      if (remaining_ == 0) state_ = state_ == State::data ? State::complete : State::chunk_end;
       continue;
     }
-    // A line: a chunk's size, the end of its data, or a trailer.
+    // A line: the size of a chunk, the end of its data, or a trailer field.
     const char c = rest.front();
     used += 1;
     line_.push_back(c);
-    if (line_.size() > kMostSizeLine) throw BadMessage(400, "malformed chunk");
+    if (line_.size() > kMaxChunkLineBytes) throw BadMessage(400, "malformed chunk");
     if (c != '\n') continue;
     if (!line_.ends_with("\r\n")) throw BadMessage(400, "malformed chunk");
     const std::string_view line = std::string_view(line_).substr(0, line_.size() - 2);
     if (state_ == State::size_line) {
       const std::string_view digits = line.substr(0, line.find_first_of("; "));
-      const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), left_, 16);
+      const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), remaining_, 16);
       if (digits.empty() || error != std::errc{} || end != digits.data() + digits.size())
         throw BadMessage(400, "malformed chunk");
-      state_ = left_ == 0 ? State::trailer : State::chunk;
+      state_ = remaining_ == 0 ? State::trailer : State::chunk;
     } else if (state_ == State::chunk_end) {
       if (!line.empty()) throw BadMessage(400, "malformed chunk");
       state_ = State::size_line;
     } else if (line.empty()) {
-      state_ = State::over;
+      state_ = State::complete;
     }
     line_.clear();
   }
@@ -210,73 +213,75 @@
 }
 
 Io Intake::more(double deadline) {
-  const bool waits = deadline != kNoWait;
-  starved_ = !waits && reads_++ >= kReadsAtOnce;  // for all of the turn: it may ask again
+  const bool may_wait = deadline != kNoWait;
+  starved_ = !may_wait && reads_++ >= kMaxReadsPerTurn;  // until the turn ends, even if called again
   if (starved_) return Io::late;
-  if (from_ == to_) {
+  if (begin_ == end_) {
     buffer_.reset();
-    from_ = to_ = 0;
-    if (waits && wait_for(socket_.fd(), POLLIN, -1, deadline, clock_).first == 0) return Io::late;
-    auto fresh = waits ? pool_.take(deadline, clock_) : pool_.take();
-    starved_ = !fresh;
-    if (!fresh) return Io::late;
-    buffer_.emplace(std::move(*fresh));
-  } else if (from_ > 0) {
-    std::memmove(buffer_->data(), buffer_->data() + from_, to_ - from_);
-    to_ -= from_;
-    from_ = 0;
+    begin_ = end_ = 0;
+    if (may_wait && wait_for(socket_.fd(), POLLIN, -1, deadline, clock_).first == 0) return Io::late;
+    auto buffer = may_wait ? pool_.take(deadline, clock_) : pool_.take();
+    starved_ = !buffer;
+    if (!buffer) return Io::late;
+    buffer_.emplace(std::move(*buffer));
+  } else if (begin_ > 0) {
+    std::memmove(buffer_->data(), buffer_->data() + begin_, end_ - begin_);
+    end_ -= begin_;
+    begin_ = 0;
   }
-  if (to_ == kBufferBytes) return Io::broken;
-  std::size_t got = 0;
-  char* const to = buffer_->data() + to_;
-  const std::size_t room = kBufferBytes - to_;
-  const Io io = waits ? socket_.receive(to, room, got, deadline, clock_) : socket_.receive(to, room, got);
-  if (io == Io::done) to_ += got;
-  if (from_ == to_) buffer_.reset();
+  if (end_ == kBufferBytes) return Io::broken;
+  std::size_t received_bytes = 0;
+  char* const free_space = buffer_->data() + end_;
+  const std::size_t free_bytes = kBufferBytes - end_;
+  const Io io = may_wait ? socket_.receive(free_space, free_bytes, received_bytes, deadline, clock_)
+                         : socket_.receive(free_space, free_bytes, received_bytes);
+  if (io == Io::done) end_ += received_bytes;
+  if (begin_ == end_) buffer_.reset();
   return io;
 }
 
-std::optional<std::size_t> Intake::head(double deadline, Io& why, double rest_ms) {
+std::optional<std::size_t> Intake::head(double deadline, Io& result, double gap_ms) {
   for (;;) {
     if (const std::size_t length = head_length(view())) return length;
-    why = more(view().empty() ? deadline : std::min(deadline, now() + rest_ms));
-    if (why != Io::done) return std::nullopt;
+    result = more(view().empty() ? deadline : std::min(deadline, now() + gap_ms));
+    if (result != Io::done) return std::nullopt;
   }
 }
 
-// A line that came whole counts, even where the bytes behind it, perhaps of the same packet, are malformed.
-void LineReader::absorb() {
-  if (spoiled_) return;
+// A complete line counts even if the bytes behind it, perhaps in the same packet, are malformed. So an error
+// of the decoder is kept until all lines before it have been returned.
+void LineReader::decode_received() {
+  if (decode_error_) return;
   try {
     intake_.use(decoder_.feed(intake_.view(), [this](std::string_view piece) { pending_.append(piece); }));
   } catch (const BadMessage& bad) {
-    spoiled_ = bad;
+    decode_error_ = bad;
   }
 }
 
-LineReader::Got LineReader::next(std::string& line, double deadline, double rest_ms) {
+LineReader::Got LineReader::next(std::string& line, double deadline, double gap_ms) {
   for (;;) {
-    absorb();
+    decode_received();
     if (const std::size_t end = pending_.find('\n'); end != std::string::npos) {
       line.assign(pending_, 0, end);
       if (line.ends_with('\r')) line.pop_back();
       pending_.erase(0, end + 1);
       return Got::line;
     }
-    if (spoiled_) throw *spoiled_;
-    if (pending_.size() > kMostBody) throw BadMessage(413, "line over 64 KiB");
+    if (decode_error_) throw *decode_error_;
+    if (pending_.size() > kMaxBodyBytes) throw BadMessage(413, "line over 64 KiB");
     if (decoder_.over()) {
       if (pending_.empty()) return Got::end;
       line = std::exchange(pending_, {});
       return Got::line;
     }
-    switch (intake_.more(begun() ? std::min(deadline, intake_.now() + rest_ms) : deadline)) {
+    switch (intake_.more(begun() ? std::min(deadline, intake_.now() + gap_ms) : deadline)) {
       case Io::done:
         break;
       case Io::late:
         return Got::late;
       case Io::ended:
-        return decoder_.to_end() && pending_.empty() ? Got::end : Got::broken;
+        return decoder_.until_close() && pending_.empty() ? Got::end : Got::broken;
       case Io::broken:
         return Got::broken;
     }
@@ -284,18 +289,18 @@
 }
 
 bool LineReader::has_line() {
-  absorb();
+  decode_received();
   return pending_.find('\n') != std::string::npos;
 }
 
 bool LineReader::skip() {
-  absorb();
-  if (spoiled_) throw *spoiled_;
+  decode_received();
+  if (decode_error_) throw *decode_error_;
   pending_.clear();
   return decoder_.over();
 }
 
-bool LineReader::skip_all(double deadline) {
+bool LineReader::discard_all(double deadline) {
   while (!skip())
     if (intake_.more(deadline) != Io::done) return false;
   return true;
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,4 +1,5 @@
-// HTTP/1.1 as PROTOCOL uses it: heads of both directions, body framing, and lines in a body.
+// The part of HTTP/1.1 that woadtide's protocol uses: request and response heads, body framing, and bodies
+// that consist of lines.
 #pragma once
 
 #include <cstdint>
@@ -14,127 +15,145 @@
 
 namespace woadtide::net {
 
-// A message that is not what the protocol allows. `status` is the 4xx that answers it, where it is a query.
+// A message that violates the protocol or cannot be accepted. If it is a request, `status` is the status code
+// of the response to it (4xx or 503).
 struct BadMessage : std::runtime_error {
-  BadMessage(int status_wanted, const std::string& what) : std::runtime_error(what), status(status_wanted) {}
+  BadMessage(int response_status, const std::string& what)
+      : std::runtime_error(what), status(response_status) {}
   int status;
 };
 
+// A header field, without surrounding white space.
 struct Field {
   std::string_view name, value;
 };
 
-// Views into the bytes that it was read from.
+// The head of a request or response, as views into the bytes it was parsed from.
 struct Head {
-  std::string_view method, target;  // of a query
-  int status = 0;                   // of an answer
+  std::string_view method, target;  // of a request
+  int status = 0;                   // of a response
   bool http10 = false;
   std::vector<Field> fields;
 
+  // The value of the first field with this name.
   std::optional<std::string_view> find(std::string_view name) const;
-  // Whether a Connection field names this one as meant for the link only.
+  // True if a Connection field lists `name`, as an option or as a hop-by-hop field.
   bool connection_names(std::string_view name) const;
 };
 
+// True if `text` is a token as HTTP defines it: not empty, and without separators.
 bool is_token(std::string_view text);
-bool same_name(std::string_view a, std::string_view b);  // ASCII, case does not count
+bool same_name(std::string_view a, std::string_view b);  // case-insensitive, ASCII only
+// Parses decimal digits only: no sign and no white space. nullopt for anything else, and on overflow.
 std::optional<std::uint64_t> whole_number(std::string_view text);
 
-// Bytes up to and with the empty line, 0 while it has not come. Throws BadMessage when it is too long.
+// Size of the head in bytes, including the empty line that ends it; 0 while that has not arrived. Throws
+// BadMessage if the head is longer than kMaxHeadBytes.
 std::size_t head_length(std::string_view raw);
+// Parse a complete head. They throw BadMessage.
 Head read_query_head(std::string_view raw);
 Head read_answer_head(std::string_view raw);
 
+// How a body is delimited.
 struct Framing {
   enum class Kind { length, chunked, to_end } kind = Kind::length;
   std::uint64_t length = 0;
   bool closes = false;  // the link ends after this message
 };
-// Throws BadMessage where it is not clear how long the body is, or a query's is over kMostBody.
+// Both throw BadMessage if the length of the body is ambiguous, and for requests also if Content-Length is
+// above kMaxBodyBytes.
 Framing framing_of_query(const Head& head);
 Framing framing_of_answer(const Head& head);
 
-// Takes a body off the wire in whatever pieces it comes.
+// Incremental decoder: removes the framing of a body that arrives in any pieces.
 class BodyDecoder {
  public:
   explicit BodyDecoder(const Framing& framing);
 
-  // Hands the body's bytes in `raw` to `sink` and returns how many bytes of `raw` it used: all, unless the
-  // body is over before. Throws BadMessage.
+  // Passes the body's bytes in `raw` to `sink` and returns how many bytes of `raw` it consumed: all of them,
+  // unless the body ends earlier. Throws BadMessage.
   std::size_t feed(std::string_view raw, const std::function<void(std::string_view)>& sink);
-  bool over() const { return state_ == State::over; }
-  bool to_end() const { return state_ == State::to_end; }
-  // Nothing of a chunk has come that is not whole.
+  // The body is complete. Never true if it ends with the connection.
+  bool over() const { return state_ == State::complete; }
+  // The body ends when the peer closes the connection.
+  bool until_close() const { return state_ == State::until_close; }
+  // The body is chunked, and no chunk has arrived in part.
   bool between_chunks() const { return state_ == State::size_line && line_.empty(); }
 
  private:
-  enum class State { data, to_end, size_line, chunk, chunk_end, trailer, over };
+  enum class State { data, until_close, size_line, chunk, chunk_end, trailer, complete };
   State state_;
   bool chunked_;
-  std::uint64_t left_ = 0;  // of the body or of the chunk
-  std::string line_;        // a size or trailer line as far as it has come
+  std::uint64_t remaining_ = 0;  // bytes of the body or chunk that are still to come
+  std::string line_;             // the part of a size or trailer line that has arrived
 };
 
-// Bytes that have come on a link and were not used yet. While there are none it holds no buffer: a worker may
-// take seconds to say the next thing.
+// Buffered input of a link: bytes that were received and not consumed yet. While there are none it holds no
+// buffer, since a worker may be silent for seconds.
 class Intake {
  public:
-  static constexpr double kNoLimit = 1e12;
-  static constexpr double kNoWait = -1;  // as a deadline: takes what has come, and is late at once
+  static constexpr double kNoLimit = 1e12;  // as gap_ms
+  // As a deadline: reads what has arrived, and returns Io::late at once if there is nothing.
+  static constexpr double kNoWait = -1;
   Intake(Socket& socket, const core::Clock& clock, BufferPool& pool)
       : socket_(socket), clock_(clock), pool_(pool) {}
 
+  // The bytes that were received and not consumed. Valid until more() is called.
   std::string_view view() const {
-    return buffer_ ? std::string_view(buffer_->data() + from_, to_ - from_) : std::string_view();
+    return buffer_ ? std::string_view(buffer_->data() + begin_, end_ - begin_) : std::string_view();
   }
-  void use(std::size_t count) { from_ += count; }
-  // Reads on until something comes. Io::broken when the buffer is full.
+  void use(std::size_t count) { begin_ += count; }
+  // Reads more bytes, and waits for them until `deadline` (ms on the clock). Io::broken if the buffer is
+  // full.
   Io more(double deadline);
   double now() const { return clock_.now(); }
-  // Without waiting it reads kReadsAtOnce times from here on, at most.
+  // Starts a new turn: at most kMaxReadsPerTurn reads with kNoWait.
   void begin_turn() { reads_ = 0; }
-  // Late not for want of bytes, but of a buffer for them, or of its turn.
+  // The last Io::late does not mean that no bytes had arrived: no buffer was free, or the turn was over.
   bool starved() const { return starved_; }
-  // A whole head; nullopt when the link ended or time ran out, `why` says which. Throws BadMessage.
-  // What has begun to come must go on within `rest_ms` of its last byte.
-  std::optional<std::size_t> head(double deadline, Io& why, double rest_ms = kNoLimit);
+  // Reads until a head is complete and returns its size. nullopt if the link ended or time ran out; `result`
+  // says which. Once the head has begun, more of it must arrive within `gap_ms` of its newest byte. Throws
+  // BadMessage.
+  std::optional<std::size_t> head(double deadline, Io& result, double gap_ms = kNoLimit);
 
  private:
   Socket& socket_;
   const core::Clock& clock_;
   BufferPool& pool_;
   std::optional<Buffer> buffer_;
-  std::size_t from_ = 0, to_ = 0;
+  std::size_t begin_ = 0, end_ = 0;
   bool starved_ = false;
-  int reads_ = 0;  // of this turn
+  int reads_ = 0;  // in this turn
 };
 
-// The lines of an answer's body, as a worker's events and discovery's changes come.
+// Reads the lines of a response body, such as a worker's events or the updates of service discovery.
 class LineReader {
  public:
   LineReader(Intake& intake, const Framing& framing) : intake_(intake), decoder_(framing) {}
 
   enum class Got { line, end, broken, late };
-  // Got::line: `line` holds the next one without its end, also where that is empty. Got::end: the body was
-  // whole. Throws BadMessage, also for a line over kMostBody. Got::late: also when a line or chunk that has
-  // begun does not go on within `rest_ms` of its last byte.
-  Got next(std::string& line, double deadline, double rest_ms = Intake::kNoLimit);
-  // A line or chunk has begun and is not whole.
+  // Got::line: `line` holds the next line without its line end; it may be empty. Got::end: the body is
+  // complete. Got::broken: the link ended or failed within the body. Got::late: no line was complete by
+  // `deadline`, or a line or chunk that has begun did not continue within `gap_ms` of its newest byte. Throws
+  // BadMessage, also for a line longer than kMaxBodyBytes.
+  Got next(std::string& line, double deadline, double gap_ms = Intake::kNoLimit);
+  // A line or chunk has arrived in part.
   bool begun() const { return !pending_.empty() || !decoder_.between_chunks(); }
-  // The next line has come already.
+  // A complete line has been received; reads nothing more.
   bool has_line();
-  // Drops what has come of the body. True when that was all of it: the link may carry the next message.
+  // Discards what has been received of the body. True if the body is complete, so that the link can carry the
+  // next message. Throws BadMessage.
   bool skip();
-  // The same, and waits for the rest.
-  bool skip_all(double deadline);
+  // Discards the whole body, and waits for it until `deadline`. False if it was not complete by then.
+  bool discard_all(double deadline);
 
  private:
-  void absorb();
+  void decode_received();
 
   Intake& intake_;
   BodyDecoder decoder_;
-  std::string pending_;
-  std::optional<BadMessage> spoiled_;
+  std::string pending_;                     // decoded bytes that were not returned yet
+  std::optional<BadMessage> decode_error_;  // thrown after the complete lines before it were returned
 };
 
 }  // namespace woadtide::net
--- a/src/net/message_reader.cpp
+++ b/src/net/message_reader.cpp
@@ -5,30 +5,30 @@
 
 namespace woadtide::net {
 
-bool MessageReader::next_buffer() {
+bool MessageReader::add_buffer() {
   auto buffer = pool_.take();
   if (!buffer) return false;
-  if (!held_) held_ = std::make_shared<Held>();
-  held_->buffers.push_back(std::move(*buffer));
-  size_ = used_ = start_ = kept_ = 0;
+  if (!storage_) storage_ = std::make_shared<Storage>();
+  storage_->buffers.push_back(std::move(*buffer));
+  size_ = parsed_ = body_offset_ = piece_size_ = 0;
   return true;
 }
 
 std::span<char> MessageReader::room() {
-  const bool first = !held_;
-  if ((first || size_ == kBufferBytes) && !next_buffer()) return {};
-  char* const data = held_->buffers.back().data();
+  const bool first = !storage_;
+  if ((first || size_ == kBufferBytes) && !add_buffer()) return {};
+  char* const data = storage_->buffers.back().data();
   if (first) {
-    std::memcpy(data, rest_.data(), rest_.size());
-    size_ = std::exchange(rest_, {}).size();
+    std::memcpy(data, surplus_.data(), surplus_.size());
+    size_ = std::exchange(surplus_, {}).size();
   }
   return {data + size_, kBufferBytes - size_};
 }
 
-// The body is laid right behind the head, then into further buffers; chunk marks fall away, so it never
-// overtakes what comes in.
+// The body is stored right behind the head, then in further buffers. Chunk framing is removed, so the write
+// position never passes the position of the input that is being decoded.
 bool MessageReader::came(std::size_t count) {
-  char* const data = held_->buffers.back().data();
+  char* const data = storage_->buffers.back().data();
   size_ += count;
   if (!decoder_) {
     const std::size_t length = head_length({data, size_});
@@ -36,35 +36,36 @@
     message_.head = read_query_head({data, length});
     const Framing framing = framing_of_query(message_.head);
     message_.closes = framing.closes;
-    continue_ = same_name(message_.head.find("Expect").value_or(""), "100-continue");
+    expects_continue_ = same_name(message_.head.find("Expect").value_or(""), "100-continue");
     decoder_.emplace(framing);
-    start_ = used_ = length;
+    body_offset_ = parsed_ = length;
   }
-  used_ += decoder_->feed({data + used_, size_ - used_}, [&](std::string_view piece) {
-    if (body_size_ + piece.size() > kMostBody) throw BadMessage(413, "body over 64 KiB");
-    std::memmove(data + start_ + kept_, piece.data(), piece.size());
-    kept_ += piece.size();
+  parsed_ += decoder_->feed({data + parsed_, size_ - parsed_}, [&](std::string_view piece) {
+    if (body_size_ + piece.size() > kMaxBodyBytes) throw BadMessage(413, "body over 64 KiB");
+    std::memmove(data + body_offset_ + piece_size_, piece.data(), piece.size());
+    piece_size_ += piece.size();
     body_size_ += piece.size();
   });
-  const bool over = decoder_->over();
-  if (over || start_ + kept_ == kBufferBytes) message_.body.emplace_back(data + start_, kept_);
-  if (over)
-    rest_.assign(data + used_, size_ - used_);
+  const bool complete = decoder_->over();
+  if (complete || body_offset_ + piece_size_ == kBufferBytes)
+    message_.body.emplace_back(data + body_offset_, piece_size_);
+  if (complete)
+    surplus_.assign(data + parsed_, size_ - parsed_);
   else
-    used_ = size_ = start_ + kept_;
-  return over;
+    parsed_ = size_ = body_offset_ + piece_size_;
+  return complete;
 }
 
 Message MessageReader::take() {
-  message_.hold = std::exchange(held_, nullptr);
+  message_.hold = std::exchange(storage_, nullptr);
   decoder_.reset();
-  size_ = used_ = start_ = kept_ = body_size_ = 0;
-  continue_ = false;
+  size_ = parsed_ = body_offset_ = piece_size_ = body_size_ = 0;
+  expects_continue_ = false;
   return std::exchange(message_, {});
 }
 
-void MessageReader::let_go() {
-  if (!begun()) held_.reset();
+void MessageReader::release_empty_buffer() {
+  if (!begun()) storage_.reset();
 }
 
 }  // namespace woadtide::net
--- a/src/net/message_reader.hpp
+++ b/src/net/message_reader.hpp
@@ -1,4 +1,5 @@
-// Makes whole HTTP queries of the bytes of one link, in whatever pieces they come. It does no I/O.
+// Assembles complete HTTP requests from the bytes of one link, in whatever pieces they arrive. It does no
+// I/O.
 #pragma once
 
 #include <memory>
@@ -13,50 +14,52 @@
 
 namespace woadtide::net {
 
-// One whole query. Its views last as long as `hold`.
+// One complete request. Its views are valid as long as `hold`, which owns the buffers.
 struct Message {
   std::shared_ptr<const void> hold;
   Head head;
-  bool closes = false;                 // the link ends after its answer
-  double received = 0;                 // when its last byte came, ms of the clock
-  std::vector<std::string_view> body;  // in pieces, chunk marks taken out
+  bool closes = false;                 // the link ends after the response
+  double received = 0;                 // arrival time of its last byte, ms on the clock
+  std::vector<std::string_view> body;  // in pieces, with the chunk framing removed
 };
 
+// Incremental parser of the requests of one link. Use: read into room(), report the count by came(), and call
+// take() when came() returns true.
 class MessageReader {
  public:
   explicit MessageReader(BufferPool& pool) : pool_(pool) {}
 
-  // Where the next bytes go; empty where no buffer can be had now. Holds a buffer from here on.
+  // Free space for the next bytes; empty if no buffer is available. From here on a buffer is held.
   std::span<char> room();
-  // So many bytes have come there. True when a message is whole: it is taken before more bytes go in. Throws
-  // BadMessage.
+  // `count` bytes were written to room(). True when a message is complete: take() must be called before more
+  // bytes are added. Throws BadMessage.
   bool came(std::size_t count);
-  // The whole message. Bytes behind it stay, for the next one.
+  // Returns the complete message. Bytes behind it are kept for the next one.
   Message take();
-  // Some of the next message is here already, from behind the last one: came(0) reads it.
-  bool has_rest() const { return !rest_.empty(); }
-  // A part of a message has come, not all.
-  bool begun() const { return held_ && size_ + body_size_ > 0; }
-  // Gives back a buffer that nothing has come into.
-  void let_go();
-  // Once for each message that asks for it: its client waits to be told to go on.
-  bool wants_continue() { return std::exchange(continue_, false); }
+  // Bytes of the next message arrived together with the last one: room() and came(0) parse them.
+  bool has_rest() const { return !surplus_.empty(); }
+  // A message has arrived in part.
+  bool begun() const { return storage_ && size_ + body_size_ > 0; }
+  // Returns the buffer to the pool if it holds no byte of a message.
+  void release_empty_buffer();
+  // True once for each message with "Expect: 100-continue": its client waits for "100 Continue".
+  bool wants_continue() { return std::exchange(expects_continue_, false); }
 
  private:
-  struct Held {
+  struct Storage {
     std::vector<Buffer> buffers;
   };
-  bool next_buffer();
+  bool add_buffer();
 
   BufferPool& pool_;
-  std::shared_ptr<Held> held_;
-  // Of the newest buffer: bytes in it, of these used, and the body's piece in it.
-  std::size_t size_ = 0, used_ = 0, start_ = 0, kept_ = 0;
+  std::shared_ptr<Storage> storage_;
+  // In the newest buffer: bytes received, bytes parsed, and offset and size of its piece of the body.
+  std::size_t size_ = 0, parsed_ = 0, body_offset_ = 0, piece_size_ = 0;
   Message message_;
-  std::optional<BodyDecoder> decoder_;  // once the head is whole
-  std::size_t body_size_ = 0;
-  bool continue_ = false;
-  std::string rest_;
+  std::optional<BodyDecoder> decoder_;  // set once the head is complete
+  std::size_t body_size_ = 0;           // of all buffers
+  bool expects_continue_ = false;
+  std::string surplus_;  // bytes behind the last message
 };
 
 }  // namespace woadtide::net
--- a/src/net/query_head.cpp
+++ b/src/net/query_head.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr double kMostBudgetMs = 1e9, kMostCostMicros = 1e12, kMostSlots = 1e6;
+constexpr double kMaxBudgetMs = 1e9, kMaxCostUs = 1e12, kMaxSlots = 1e6;
 
-std::string_view reason(int status) {
+std::string_view reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -43,30 +43,30 @@
   }
 }
 
-// Plain decimal digits, a fraction at most, up to `most`. from_chars alone would take "nan" and "inf" too:
-// they pass or fail every comparison, and one of them as a deadline would break the order of the loop's
-// timers.
-std::optional<double> number(std::string_view text, double most) {
+// Parses decimal digits with an optional fraction, up to `max`. from_chars alone would accept "nan" and "inf"
+// too: comparisons with those are always true or always false, and such a deadline would break the order of
+// the decision loop's timers.
+std::optional<double> parse_number(std::string_view text, double max) {
   double value = 0;
   const char* const last = text.data() + text.size();
   if (text.empty() || text.front() < '0' || text.front() > '9') return std::nullopt;
   const auto [end, error] = std::from_chars(text.data(), last, value, std::chars_format::fixed);
-  if (error != std::errc{} || end != last || !std::isfinite(value) || value > most) return std::nullopt;
+  if (error != std::errc{} || end != last || !std::isfinite(value) || value > max) return std::nullopt;
   return value;
 }
 
-// "480m" or "1500u".
-std::optional<double> budget_ms(std::string_view text) {
+// Parses "480m" (milliseconds) or "1500u" (microseconds); the result is in ms.
+std::optional<double> parse_budget_ms(std::string_view text) {
   if (text.empty()) return std::nullopt;
   const char unit = text.back();
-  const double in_ms = unit == 'u' ? 1000 : 1;
-  const auto value = number(text.substr(0, text.size() - 1), kMostBudgetMs * in_ms);
+  const double units_per_ms = unit == 'u' ? 1000 : 1;
+  const auto value = parse_number(text.substr(0, text.size() - 1), kMaxBudgetMs * units_per_ms);
   if (!value || (unit != 'm' && unit != 'u')) return std::nullopt;
-  return *value / in_ms;
+  return *value / units_per_ms;
 }
 
-// `name` in "name=value,name=value".
-std::optional<std::string_view> figure(std::string_view pairs, std::string_view name) {
+// The value of `name` in "name=value,name=value".
+std::optional<std::string_view> pair_value(std::string_view pairs, std::string_view name) {
   while (!pairs.empty()) {
     const std::string_view pair = pairs.substr(0, pairs.find(','));
     pairs.remove_prefix(std::min(pairs.size(), pair.size() + 1));
@@ -77,18 +77,20 @@
 }
 
 bool is_one_of(std::string_view name, std::initializer_list<std::string_view> names) {
-  return std::any_of(names.begin(), names.end(), [&](std::string_view one) { return same_name(one, name); });
+  return std::any_of(names.begin(), names.end(),
+                     [&](std::string_view candidate) { return same_name(candidate, name); });
 }
 
-// What the loop or a worker goes by. Twice, or named as meant for this link only, it could be read in two
-// ways: the worker could run another query than the one that was decided on.
+// Rejects fields that the decision loop or a worker evaluates if they occur twice, or if Connection names
+// them as hop-by-hop. They could then be read in two ways, and the worker could run another query than the
+// one that was decided on.
 void check_unambiguous(const Head& head) {
-  const std::initializer_list<std::string_view> once = {
+  const std::initializer_list<std::string_view> single_fields = {
       "Host", "X-Call-Id", "X-Call-Class", "X-Budget", "X-Call-Cost", "X-Call-Info", "X-Again"};
   for (auto field = head.fields.begin(); field != head.fields.end(); ++field) {
-    if (!is_one_of(field->name, once)) continue;
-    const auto again = [&](const Field& other) { return same_name(other.name, field->name); };
-    if (std::any_of(field + 1, head.fields.end(), again) || head.connection_names(field->name))
+    if (!is_one_of(field->name, single_fields)) continue;
+    const auto same_field = [&](const Field& other) { return same_name(other.name, field->name); };
+    if (std::any_of(field + 1, head.fields.end(), same_field) || head.connection_names(field->name))
       throw BadMessage(400, std::string(field->name) + " is ambiguous");
   }
 }
@@ -102,27 +104,27 @@
 
 void read_figures(const Head& head, core::Query& query, double received) {
   check_unambiguous(head);
-  const auto kind = head.find("X-Call-Class"), budget = head.find("X-Budget");
-  if (!kind) throw BadMessage(400, "X-Call-Class is missing");
-  const auto wait = budget_ms(budget.value_or(""));
-  if (!wait) throw BadMessage(400, "X-Budget is missing or malformed");
-  query.class_name = *kind;
-  query.deadline = received + *wait;
-  if (const auto told = head.find("X-Call-Cost")) {
-    const auto cost = number(*told, kMostCostMicros);
+  const auto class_name = head.find("X-Call-Class"), budget = head.find("X-Budget");
+  if (!class_name) throw BadMessage(400, "X-Call-Class is missing");
+  const auto parsed_budget_ms = parse_budget_ms(budget.value_or(""));
+  if (!parsed_budget_ms) throw BadMessage(400, "X-Budget is missing or malformed");
+  query.class_name = *class_name;
+  query.deadline = received + *parsed_budget_ms;
+  if (const auto cost_text = head.find("X-Call-Cost")) {
+    const auto cost = parse_number(*cost_text, kMaxCostUs);
     if (!cost) throw BadMessage(400, "X-Call-Cost is malformed");
     query.cost_ms = *cost / 1000;
   }
-  if (const auto told = figure(head.find("X-Call-Info").value_or(""), "slots")) {
-    const auto slots = number(*told, kMostSlots);
-    if (!slots || *slots <= 0) throw BadMessage(400, "X-Call-Info's slots are malformed");
+  if (const auto slots_text = pair_value(head.find("X-Call-Info").value_or(""), "slots")) {
+    const auto slots = parse_number(*slots_text, kMaxSlots);
+    if (!slots || *slots <= 0) throw BadMessage(400, "X-Call-Info: slots is malformed");
     query.slots = *slots;
   }
 }
 
-std::string answer_head(int status, std::string_view fields, std::size_t body_size, bool closes) {
+std::string response_head(int status, std::string_view fields, std::size_t body_size, bool closes) {
   std::string head = "HTTP/1.1 ";
-  head.append(std::to_string(status)).append(" ").append(reason(status)).append("\r\n").append(fields);
+  head.append(std::to_string(status)).append(" ").append(reason_phrase(status)).append("\r\n").append(fields);
   head.append("Content-Length: ").append(std::to_string(body_size)).append("\r\n");
   if (closes) head.append("Connection: close\r\n");
   return head.append("\r\n");
--- a/src/net/query_head.hpp
+++ b/src/net/query_head.hpp
@@ -1,4 +1,4 @@
-// What every front that speaks HTTP reads from a query's head, and the head of its answer.
+// Parts of HTTP that every HTTP frontend shares: the header fields of a query, and the head of a response.
 #pragma once
 
 #include <cstddef>
@@ -10,10 +10,14 @@
 
 namespace woadtide::net {
 
-// Whether a worker gets this field; the others are of one link only, or written anew.
+// True if the header field `name` is forwarded to the worker. The others concern one connection only
+// (hop-by-hop), or are written anew.
 bool is_passed_on(std::string_view name);
-// Class, deadline, cost and slots of `query`, which was received at this time. Throws BadMessage.
+// Sets class, deadline, cost and slots of `query` from the head of a request that was received at `received`
+// (ms on the clock). Throws BadMessage.
 void read_figures(const Head& head, core::Query& query, double received);
-std::string answer_head(int status, std::string_view fields, std::size_t body_size, bool closes);
+// The head of a response, with Content-Length and the empty line at its end. `fields` are complete header
+// lines; `closes` adds "Connection: close".
+std::string response_head(int status, std::string_view fields, std::size_t body_size, bool closes);
 
 }  // namespace woadtide::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -21,9 +21,13 @@
 namespace woadtide::net {
 
 namespace {
-[[noreturn]] void fail(const char* what) { throw std::system_error(errno, std::generic_category(), what); }
+[[noreturn]] void throw_errno(const char* call) {
+  throw std::system_error(errno, std::generic_category(), call);
+}
 
-void set(int fd, int level, int option, int value) { ::setsockopt(fd, level, option, &value, sizeof value); }
+void set_option(int fd, int level, int option, int value) {
+  ::setsockopt(fd, level, option, &value, sizeof value);
+}
 }  // namespace
 
 Address::Address(const std::string& text) {
@@ -40,32 +44,33 @@
   ::freeaddrinfo(found);
 }
 
-std::pair<short, short> wait_for(int fd, short events, int other, double deadline, const core::Clock& clock) {
+std::pair<short, short> wait_for(int fd, short events, int other_fd, double deadline,
+                                 const core::Clock& clock) {
   for (;;) {
-    std::array<pollfd, 2> set{pollfd{fd, events, 0}, pollfd{other, POLLIN, 0}};
-    const double left = std::clamp(std::ceil(deadline - clock.now()), 0.0, 1e9);
-    const int ready = ::poll(set.data(), set.size(), static_cast<int>(left));
-    if (ready > 0) return {set[0].revents, set[1].revents};
-    if (ready < 0 && errno != EINTR) fail("poll");
+    std::array<pollfd, 2> fds{pollfd{fd, events, 0}, pollfd{other_fd, POLLIN, 0}};
+    const double remaining_ms = std::clamp(std::ceil(deadline - clock.now()), 0.0, 1e9);
+    const int ready = ::poll(fds.data(), fds.size(), static_cast<int>(remaining_ms));
+    if (ready > 0) return {fds[0].revents, fds[1].revents};
+    if (ready < 0 && errno != EINTR) throw_errno("poll");
     if (clock.now() >= deadline) return {0, 0};
   }
 }
 
 Socket Socket::make(const Address& address) {
   Socket socket{Fd(::socket(address.storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0))};
-  if (!socket) fail("socket");
+  if (!socket) throw_errno("socket");
   socket.set_no_delay();
   return socket;
 }
 
-void Socket::set_no_delay() const { set(fd(), IPPROTO_TCP, TCP_NODELAY, 1); }
+void Socket::set_no_delay() const { set_option(fd(), IPPROTO_TCP, TCP_NODELAY, 1); }
 
 Socket Socket::listen_at(const Address& address) {
   Socket socket = make(address);
-  set(socket.fd(), SOL_SOCKET, SO_REUSEADDR, 1);
+  set_option(socket.fd(), SOL_SOCKET, SO_REUSEADDR, 1);
   if (::bind(socket.fd(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0)
-    fail("bind");
-  if (::listen(socket.fd(), 1024) != 0) fail("listen");
+    throw_errno("bind");
+  if (::listen(socket.fd(), 1024) != 0) throw_errno("listen");
   return socket;
 }
 
@@ -74,14 +79,14 @@
   socklen_t length = sizeof listens;
   if (::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &length) != 0 || listens == 0)
     throw std::runtime_error("descriptor " + std::to_string(fd) +
-                             ", passed to us, is no socket that listens");
+                             " was inherited, but is not a listening socket");
   ::fcntl(fd, F_SETFD, FD_CLOEXEC);
   return Socket{Fd(fd)};
 }
 
 Socket Socket::another() const {
   Fd copy(::fcntl(fd(), F_DUPFD_CLOEXEC, 0));
-  if (!copy) throw std::system_error(errno, std::generic_category(), "a socket's other descriptor");
+  if (!copy) throw std::system_error(errno, std::generic_category(), "duplicating a socket descriptor");
   return Socket{std::move(copy)};
 }
 
@@ -121,42 +126,43 @@
 }
 
 Socket Socket::listen_patiently(const Address& address, double patience_ms) {
-  constexpr double kAgainMs = 20;
+  constexpr double kRetryIntervalMs = 20;
   const core::Clock clock;
-  for (const double until = clock.now() + patience_ms;;) {
+  for (const double deadline = clock.now() + patience_ms;;) {
     try {
       return listen_at(address);
-    } catch (const std::system_error& failed) {
-      const bool passes = connect_error(failed.code().value()) == ConnectError::own;
-      // No address of ours: the operator's mistake, not want of a port.
-      if (!passes || failed.code().value() == EADDRNOTAVAIL || clock.now() >= until) throw;
+    } catch (const std::system_error& error) {
+      const bool temporary = connect_error(error.code().value()) == ConnectError::own;
+      // EADDRNOTAVAIL: not an address of this machine. That is an error in the configuration, not a shortage
+      // of ports.
+      if (!temporary || error.code().value() == EADDRNOTAVAIL || clock.now() >= deadline) throw;
     }
-    ::poll(nullptr, 0, static_cast<int>(kAgainMs));
+    ::poll(nullptr, 0, static_cast<int>(kRetryIntervalMs));
   }
 }
 
-ConnectError Socket::try_connect(const Address& address, double within_ms) {
-  // On Linux the send timeout bounds a blocking connect too; a shut() from outside ends it early.
-  const auto micros = static_cast<long>(std::max(within_ms, 1.0) * 1000);
-  timeval within{micros / 1'000'000, micros % 1'000'000};
-  ::setsockopt(fd(), SOL_SOCKET, SO_SNDTIMEO, &within, sizeof within);
+ConnectError Socket::try_connect(const Address& address, double timeout_ms) {
+  // On Linux the send timeout also limits a blocking connect(); a shut() by another thread ends it early.
+  const auto micros = static_cast<long>(std::max(timeout_ms, 1.0) * 1000);
+  timeval send_timeout{micros / 1'000'000, micros % 1'000'000};
+  ::setsockopt(fd(), SOL_SOCKET, SO_SNDTIMEO, &send_timeout, sizeof send_timeout);
   if (::connect(fd(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) == 0)
     return ConnectError::none;
   if (errno != EINTR) return connect_error(errno);
-  // Interrupted, it goes on by itself.
+  // An interrupted connect() continues in the kernel.
   const core::Clock clock;
-  if (wait_for(fd(), POLLOUT, -1, clock.now() + within_ms, clock).first == 0) return ConnectError::peer;
+  if (wait_for(fd(), POLLOUT, -1, clock.now() + timeout_ms, clock).first == 0) return ConnectError::peer;
   int error = 0;
   socklen_t length = sizeof error;
   ::getsockopt(fd(), SOL_SOCKET, SO_ERROR, &error, &length);
   return connect_error(error);
 }
 
-Io Socket::receive(char* to, std::size_t room, std::size_t& got) {
+Io Socket::receive(char* buffer, std::size_t capacity, std::size_t& received_bytes) {
   for (;;) {
-    const ssize_t count = ::recv(fd(), to, room, MSG_DONTWAIT);
+    const ssize_t count = ::recv(fd(), buffer, capacity, MSG_DONTWAIT);
     if (count > 0) {
-      got = static_cast<std::size_t>(count);
+      received_bytes = static_cast<std::size_t>(count);
       return Io::done;
     }
     if (count == 0) return Io::ended;
@@ -165,90 +171,92 @@
   }
 }
 
-Io Socket::receive(char* to, std::size_t room, std::size_t& got, double deadline, const core::Clock& clock) {
+Io Socket::receive(char* buffer, std::size_t capacity, std::size_t& received_bytes, double deadline,
+                   const core::Clock& clock) {
   for (;;) {
-    const Io io = receive(to, room, got);
+    const Io io = receive(buffer, capacity, received_bytes);
     if (io != Io::late || wait_for(fd(), POLLIN, -1, deadline, clock).first == 0) return io;
   }
 }
 
 namespace {
-// Goes on with what is left, in as few writes as the kernel takes. late: it takes no more now.
-Io write_left(int fd, std::vector<iovec>& left, std::size_t& first) {
-  while (first < left.size()) {
+// Sends the vectors from `first` on, in as few system calls as possible, and advances `first` and the vectors
+// past what was sent. Io::late: the kernel accepts no more at present.
+Io send_remaining(int fd, std::vector<iovec>& remaining, std::size_t& first) {
+  while (first < remaining.size()) {
     msghdr message{};
-    message.msg_iov = &left[first];
-    message.msg_iovlen = left.size() - first;
+    message.msg_iov = &remaining[first];
+    message.msg_iovlen = remaining.size() - first;
     const ssize_t count = ::sendmsg(fd, &message, MSG_DONTWAIT | MSG_NOSIGNAL);
     if (count < 0) {
       if (errno == EINTR) continue;
       return errno == EAGAIN || errno == EWOULDBLOCK ? Io::late : Io::broken;
     }
-    for (auto sent = static_cast<std::size_t>(count); sent > 0 && first < left.size();) {
-      const std::size_t taken = std::min(sent, left[first].iov_len);
-      left[first].iov_base = static_cast<char*>(left[first].iov_base) + taken;
-      left[first].iov_len -= taken;
-      sent -= taken;
-      if (left[first].iov_len == 0) first += 1;
+    for (auto sent_bytes = static_cast<std::size_t>(count); sent_bytes > 0 && first < remaining.size();) {
+      const std::size_t taken = std::min(sent_bytes, remaining[first].iov_len);
+      remaining[first].iov_base = static_cast<char*>(remaining[first].iov_base) + taken;
+      remaining[first].iov_len -= taken;
+      sent_bytes -= taken;
+      if (remaining[first].iov_len == 0) first += 1;
     }
   }
   return Io::done;
 }
 
-std::vector<iovec> vectors(const std::vector<std::string_view>& parts) {
-  std::vector<iovec> left;
-  left.reserve(parts.size());
+std::vector<iovec> to_iovecs(const std::vector<std::string_view>& parts) {
+  std::vector<iovec> remaining;
+  remaining.reserve(parts.size());
   for (const std::string_view part : parts)
-    if (!part.empty()) left.push_back({const_cast<char*>(part.data()), part.size()});
-  return left;
+    if (!part.empty()) remaining.push_back({const_cast<char*>(part.data()), part.size()});
+  return remaining;
 }
 }  // namespace
 
 Io Socket::send(const std::vector<std::string_view>& parts, double deadline, const core::Clock& clock) {
-  std::vector<iovec> left = vectors(parts);
+  std::vector<iovec> remaining = to_iovecs(parts);
   for (std::size_t first = 0;;) {
-    const Io io = write_left(fd(), left, first);
+    const Io io = send_remaining(fd(), remaining, first);
     if (io != Io::late || wait_for(fd(), POLLOUT, -1, deadline, clock).first == 0) return io;
   }
 }
 
 std::size_t Socket::send_some(const std::vector<std::string_view>& parts) {
-  std::vector<iovec> left = vectors(parts);
-  std::size_t first = 0, all = 0, kept = 0;
-  for (const std::string_view part : parts) all += part.size();
-  write_left(fd(), left, first);
-  for (; first < left.size(); ++first) kept += left[first].iov_len;
-  return all - kept;
+  std::vector<iovec> remaining = to_iovecs(parts);
+  std::size_t first = 0, total_bytes = 0, unsent_bytes = 0;
+  for (const std::string_view part : parts) total_bytes += part.size();
+  send_remaining(fd(), remaining, first);
+  for (; first < remaining.size(); ++first) unsent_bytes += remaining[first].iov_len;
+  return total_bytes - unsent_bytes;
 }
 
-double Socket::age_of_newest_bytes() const {
+double Socket::newest_bytes_age_ms() const {
   tcp_info info{};
   socklen_t length = sizeof info;
   if (::getsockopt(fd(), IPPROTO_TCP, TCP_INFO, &info, &length) != 0) return 0;
-  const bool told = length >= offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
-  return told ? info.tcpi_last_data_recv : 0;
+  const bool has_field = length >= offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
+  return has_field ? info.tcpi_last_data_recv : 0;
 }
 
 bool Socket::quiet() const {
   if (!fd_) return false;
   char byte = 0;
-  ssize_t got = 0;
-  do got = ::recv(fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  while (got < 0 && errno == EINTR);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  ssize_t result = 0;
+  do result = ::recv(fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  while (result < 0 && errno == EINTR);
+  return result < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-bool Socket::stays_open(double ms) const {
+bool Socket::stays_open(double duration_ms) const {
   constexpr long kNanosPerSecond = 1'000'000'000;
-  pollfd set{fd(), POLLIN | POLLRDHUP, 0};
+  pollfd watched{fd(), POLLIN | POLLRDHUP, 0};
   const core::Clock clock;
-  const double until = clock.now() + ms;
-  for (double left = ms;; left = until - clock.now()) {
-    const auto nanos = static_cast<long>(std::max(left, 0.0) * 1e6);
-    const timespec patience{nanos / kNanosPerSecond, nanos % kNanosPerSecond};
-    const int ready = ::ppoll(&set, 1, &patience, nullptr);
+  const double end = clock.now() + duration_ms;
+  for (double remaining_ms = duration_ms;; remaining_ms = end - clock.now()) {
+    const auto nanos = static_cast<long>(std::max(remaining_ms, 0.0) * 1e6);
+    const timespec timeout{nanos / kNanosPerSecond, nanos % kNanosPerSecond};
+    const int ready = ::ppoll(&watched, 1, &timeout, nullptr);
     if (ready < 0 && errno == EINTR) continue;
-    return ready <= 0 || (set.revents & ~POLLIN) == 0;
+    return ready <= 0 || (watched.revents & ~POLLIN) == 0;
   }
 }
 
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -1,4 +1,4 @@
-// Blocking TCP sockets. Every read and write has an absolute deadline on the Clock.
+// TCP sockets. A call that may block takes an absolute deadline, in ms on a Clock, or a longest time in ms.
 #pragma once
 
 #include <sys/socket.h>
@@ -16,7 +16,8 @@
 
 using park::Fd;
 
-// "host:port" with a numeric host. Throws std::invalid_argument for anything else.
+// A socket address, parsed from "host:port" with a numeric host and port. The constructor throws
+// std::invalid_argument for anything else.
 struct Address {
   Address() = default;
   explicit Address(const std::string& text);
@@ -24,73 +25,95 @@
   socklen_t length = 0;
 };
 
-enum class Io { done, ended, broken, late };
+// Result of a read or write.
+enum class Io {
+  done,    // bytes were transferred
+  ended,   // the peer has shut down its side
+  broken,  // the connection failed
+  late     // the deadline has passed; without a deadline: the call would have blocked
+};
 
-// Why there is no connection. own: this machine is short of something for now (descriptors, memory, ports),
-// which says nothing about the peer. unreachable: the network knows no way there. peer: it refused, reset, or
-// said nothing in time.
-enum class ConnectError { none, own, unreachable, peer };
-// What an errno of socket() or connect() means.
+// Why a connection was not established.
+enum class ConnectError {
+  none,
+  own,          // temporary local shortage (descriptors, memory, ports): says nothing about the peer
+  unreachable,  // the network has no route to the peer
+  peer          // the peer refused, reset, or did not answer in time
+};
+// Classifies an errno of socket() or connect().
 ConnectError connect_error(int error);
 
-// Why accept() gave no connection. nobody: none waits. this_one: the one that waited is gone, or the call was
-// interrupted; the next may be had at once. machine: it may last, and the connection waits in the kernel.
-enum class AcceptError { nobody, this_one, machine };
+// Why accept() returned no connection.
+enum class AcceptError {
+  nobody,    // none is pending
+  this_one,  // the pending connection is gone, or the call was interrupted: accept() may be repeated at once
+  machine    // the system refused, which may last; the connection stays in the kernel's queue
+};
+// Classifies an errno of accept().
 AcceptError accept_error(int error);
-// How long to wait before another accept, where the machine gave none.
+// How long to wait after AcceptError::machine before the next accept().
 constexpr double kAcceptAgainMs = 5;
 
+// Owns the descriptor of one TCP socket.
 class Socket {
  public:
   Socket() = default;
   explicit Socket(Fd fd) : fd_(std::move(fd)) {}
 
-  // An unconnected socket for `address`, with TCP_NODELAY. Throws std::system_error.
+  // Creates an unconnected socket for `address`, with TCP_NODELAY. Throws std::system_error.
   static Socket make(const Address& address);
-  // Throws std::system_error. Port 0 takes a free one.
+  // Creates a listening socket; port 0 selects a free port. Throws std::system_error.
   static Socket listen_at(const Address& address);
-  // The same, and tries again for up to `patience_ms` where this machine is short of something for now.
+  // Like listen_at(), but retries for up to `patience_ms` while this machine is temporarily short of
+  // resources.
   static Socket listen_patiently(const Address& address, double patience_ms);
 
-  // A socket that listens already, inherited: from here on its owner is this process. It may be another one's
-  // too: it must never be shut down. Throws std::runtime_error where it does not listen.
+  // Takes ownership of an inherited descriptor of a listening socket. Another process may share the socket,
+  // so it must never be shut down. Throws std::runtime_error if it is not a listening socket.
   static Socket adopt_listener(int fd);
 
-  // The same socket by another descriptor. Throws std::system_error.
+  // Duplicates the descriptor: both refer to the same socket. Throws std::system_error.
   Socket another() const;
 
-  // Once, within so many ms.
-  ConnectError try_connect(const Address& address, double within_ms);
-  bool connect(const Address& address, double within_ms) {
-    return try_connect(address, within_ms) == ConnectError::none;
+  // Makes one attempt to connect, which takes at most `timeout_ms`.
+  ConnectError try_connect(const Address& address, double timeout_ms);
+  bool connect(const Address& address, double timeout_ms) {
+    return try_connect(address, timeout_ms) == ConnectError::none;
   }
-  // done: `got` bytes came, at least one.
-  Io receive(char* to, std::size_t room, std::size_t& got, double deadline, const core::Clock& clock);
-  // The same without waiting: late where nothing has come.
-  Io receive(char* to, std::size_t room, std::size_t& got);
-  // All parts in as few writes as the kernel takes. done: the last byte was handed over.
+  // Io::done: `received_bytes`, at least one, were stored at `buffer`, which has room for `capacity` bytes.
+  // Waits until `deadline`.
+  Io receive(char* buffer, std::size_t capacity, std::size_t& received_bytes, double deadline,
+             const core::Clock& clock);
+  // Does not wait: Io::late if nothing has arrived.
+  Io receive(char* buffer, std::size_t capacity, std::size_t& received_bytes);
+  // Sends all parts, in as few system calls as possible. Io::done: the kernel has accepted the last byte.
+  // Waits until `deadline`.
   Io send(const std::vector<std::string_view>& parts, double deadline, const core::Clock& clock);
-  // How many bytes of these parts the kernel takes at once, in all.
+  // Sends what the kernel accepts without blocking, and returns its total size in bytes.
   std::size_t send_some(const std::vector<std::string_view>& parts);
-  // How long ago the kernel received the newest bytes, ms; 0 where it does not tell.
-  double age_of_newest_bytes() const;
-  // Open, and nothing has come: a link that stood idle may be used again.
+  // Time since the kernel received the newest bytes, in ms; 0 if it does not report that.
+  double newest_bytes_age_ms() const;
+  // The connection is open and no bytes are waiting, so a link that was idle may be used again.
   bool quiet() const;
-  // Watches for `ms` of the machine's own time, or until the peer speaks. False if it closed or reset.
-  bool stays_open(double ms) const;
+  // Watches the connection for `duration_ms` of real time, or until bytes arrive. False if the peer has
+  // closed or reset it.
+  bool stays_open(double duration_ms) const;
   void shut(int how = SHUT_RDWR) const { ::shutdown(fd_.get(), how); }
 
+  // Sets TCP_NODELAY.
   void set_no_delay() const;
   int fd() const { return fd_.get(); }
   explicit operator bool() const { return static_cast<bool>(fd_); }
+  // The local port.
   int port() const;
 
  private:
   Fd fd_;
 };
 
-// Waits for `events` on one descriptor and for input on another (or -1) until `deadline`; poll's revents of
-// both, 0 and 0 when it is late.
-std::pair<short, short> wait_for(int fd, short events, int other, double deadline, const core::Clock& clock);
+// Waits until `deadline` for `events` on one descriptor and for input on another one (-1: none). Returns
+// poll's revents of both; both are 0 if the deadline has passed. Throws std::system_error.
+std::pair<short, short> wait_for(int fd, short events, int other_fd, double deadline,
+                                 const core::Clock& clock);
 
 }  // namespace woadtide::net
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -248,8 +248,8 @@
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())});
   std::string body;
-  while (body.size() < kMostBody) body += std::to_string(body.size()) + ',';
-  body.resize(kMostBody);
+  while (body.size() < kMaxBodyBytes) body += std::to_string(body.size()) + ',';
+  body.resize(kMaxBodyBytes);
   Peer client = served.client();
   client.write(
       "POST /api HTTP/1.1\r\nX-Call-Id: aa\r\nX-Call-Class: receipt-check\r\nX-Budget: 500m\r\n"
@@ -302,7 +302,7 @@
   // A link stands so, and moved last at this time.
   void await_moved(ConnectionState state, double at) {
     const core::Clock real;
-    for (const double end = real.now() + 10'000; links->last_moved(state) != kNow + at;) {
+    for (const double end = real.now() + 10'000; links->last_activity(state) != kNow + at;) {
       REQUIRE(real.now() < end);
       std::this_thread::yield();
     }
@@ -364,7 +364,7 @@
 // hold no place for longer. One that drips would renew any limit that counts from its last byte.
 TEST_CASE("a link's first query must have come whole by a limit that counts from accept") {
   Front front(8, 20);
-  front.side.gap_ms = 0;
+  front.side.read_gap_ms = 0;
   Peer served = front.served(), silent = Peer::to(front.port), dripping = Peer::to(front.port);
   dripping.write("P");
   front.await(ConnectionState::reading, 1);
@@ -414,7 +414,7 @@
   Front front(3);
   Peer asked = front.served(), silent = Peer::to(front.port), coming = Peer::to(front.port);
   front.await(ConnectionState::fresh, 2);
-  front.await(ConnectionState::asked, 1);
+  front.await(ConnectionState::idle_no_query, 1);
   front.clock.set(kNow + 500);
   coming.write("POST /api");
   front.await(ConnectionState::reading, 1);
@@ -434,7 +434,7 @@
 TEST_CASE("a link without a query holds no buffer") {
   Front front(8);
   Peer silent = Peer::to(front.port), served = front.served(), after = front.served();
-  front.await(ConnectionState::asked, 2);
+  front.await(ConnectionState::idle_no_query, 2);
   CHECK(front.links->open() == 3);
   CHECK(front.pool.out() == 0);
 }
@@ -1009,7 +1009,7 @@
   CHECK(front.links->count(ConnectionState::lingering) == 1);
   front.clock.set(kNow + 500);
   front.await(ConnectionState::lingering, 0);
-  CHECK(front.links->count(ConnectionState::asked) == 1);
+  CHECK(front.links->count(ConnectionState::idle_no_query) == 1);
 }
 
 // Guards all others against one that sends as fast as it is read: there is one thread for all of them.
@@ -1033,7 +1033,7 @@
   CHECK(intake.starved());
   CHECK(read < 9 * kBufferBytes);
   CHECK(reader.next(line, Intake::kNoWait) == LineReader::Got::late);  // its turn is over, whoever asks again
-  CHECK_FALSE(reader.skip_all(Intake::kNoWait));
+  CHECK_FALSE(reader.discard_all(Intake::kNoWait));
   CHECK(intake.starved());
   intake.begin_turn();
   while (reader.next(line, Intake::kNoWait) == LineReader::Got::line) read += 1;
