--- a/src/net/client_link.cpp
+++ b/src/net/client_link.cpp
@@ -14,14 +14,14 @@
 const BadMessage kReadTimeout(408, "request not complete in time");
 }
 
-ClientLink::ClientLink(Socket socket, ClientSide& side, ClientLinks& links)
-    : side_(side),
+ClientLink::ClientLink(Socket socket, ClientSide& context, ClientLinks& links)
+    : context_(context),
       links_(links),
       mutex_(links.mutex_),
       socket_(std::move(socket)),
-      reader_(side.pool),
-      opened_at_(side.clock.now()),
-      read_deadline_(opened_at_ + side.first_ms) {}
+      reader_(context.pool),
+      opened_at_(context.clock.now()),
+      read_deadline_(opened_at_ + context.first_ms) {}
 
 // Event handler: the socket became readable or writable, or the client closed.
 void ClientLink::ready(park::Signs signs) {
@@ -35,7 +35,7 @@
     lingering = state_ == ConnectionState::lingering;
     if (processing_ && !writing) {
       input_signalled_ |= signs.readable;
-      if (signs.readable) unread_since_ = side_.clock.now();
+      if (signs.readable) unread_since_ = context_.clock.now();
       if (!peer_closed_) return;
       abandoned = std::exchange(pending_request_, nullptr);
       links_.remove_link(*this);
@@ -78,13 +78,13 @@
 bool ClientLink::read_available() {
   bool received = false;
   for (int reads = 0;; ++reads) {
-    const double now = side_.clock.now();
+    const double now = context_.clock.now();
     // Some messages arrive in pieces over seconds. But a client that has stopped sending must not hold a
     // place and a buffer, and one that sends a byte now and then must not hold them without end.
     if (!std::exchange(reading_, true)) {
       const double started_at = answered_ ? now : opened_at_;
-      read_deadline_ = started_at + side_.first_ms;
-      message_deadline_ = started_at + side_.message_timeout_ms;
+      read_deadline_ = started_at + context_.first_ms;
+      message_deadline_ = started_at + context_.message_timeout_ms;
     }
     const bool has_rest = reader_.has_rest();
     const std::span<char> free_space = reader_.room();
@@ -98,7 +98,7 @@
     std::size_t received_bytes = 0;
     // A non-blocking read: the event loop signals when there is more.
     const Io io = socket_.receive(free_space.data(), free_space.size(), received_bytes);
-    if (now > side_.read_until) throw BadMessage(503, "clients are sent away");
+    if (now > context_.read_until) throw BadMessage(503, "clients are sent away");
     if (io == Io::late) {
       unread_since_.reset();
       wait_for_bytes(now, received);
@@ -114,13 +114,13 @@
     if (reader_.came(received_bytes)) {
       // The connection may have waited to be accepted, and this process may have been delayed: the kernel
       // knows how old the bytes are.
-      received_at_ = std::min(received_at_, side_.clock.ago(socket_.newest_bytes_age_ms()));
+      received_at_ = std::min(received_at_, context_.clock.ago(socket_.newest_bytes_age_ms()));
       // Bytes that arrive from here on have not waited, even if they are there before finish_reply() looks.
       if (unread_since_ && socket_.quiet()) unread_since_.reset();
       return true;
     }
     if (reader_.wants_continue()) socket_.send_some({"HTTP/1.1 100 Continue\r\n\r\n"});
-    read_deadline_ = std::min(std::max(read_deadline_, now + side_.read_gap_ms), message_deadline_);
+    read_deadline_ = std::min(std::max(read_deadline_, now + context_.read_gap_ms), message_deadline_);
   }
 }
 
@@ -130,7 +130,7 @@
     reader_.release_empty_buffer();
     reading_ = false;
     const std::lock_guard lock(*mutex_);
-    side_.park.wake_at(token_, answered_ ? state_since_ + side_.idle_timeout_ms : read_deadline_);
+    context_.park.wake_at(token_, answered_ ? state_since_ + context_.idle_timeout_ms : read_deadline_);
     return;
   }
   if (now >= read_deadline_) throw kReadTimeout;
@@ -139,7 +139,7 @@
 
 // Reads again at `when` at the latest. `received` says whether bytes arrived in this turn.
 void ClientLink::schedule_read(double when, bool received) {
-  side_.park.wake_at(token_, when);
+  context_.park.wake_at(token_, when);
   if (!received) return;
   const std::lock_guard lock(*mutex_);
   links_.set_state(*this, answered_ ? ConnectionState::busy : ConnectionState::reading);
@@ -155,12 +155,12 @@
   }
   Message message = reader_.take();
   message.received = received_at_;
-  auto request = side_.front.take(shared_from_this(), std::move(message));
+  auto request = context_.front.take(shared_from_this(), std::move(message));
   {
     const std::lock_guard lock(*mutex_);
     if (closed_) return;
     if (!processing_ || !request) {  // already answered
-      if (peer_closed_ && !processing_) side_.park.poke(token_, {.readable = true});
+      if (peer_closed_ && !processing_) context_.park.poke(token_, {.readable = true});
       return;
     }
     if (!peer_closed_) {
@@ -178,7 +178,7 @@
   {
     const std::lock_guard lock(*mutex_);
     if (closed_) return;
-    closes = closes || side_.draining;
+    closes = closes || context_.draining;
     answered_request = std::exchange(pending_request_, nullptr);
   }
   // While the message is being processed nobody else uses the socket, except to detect that the client
@@ -193,9 +193,9 @@
   close_when_sent_ = closes;
   unsent_is_query_ = is_query;
   writing_ = true;
-  side_.park.wake_at(token_, side_.clock.now() + side_.message_timeout_ms);
+  context_.park.wake_at(token_, context_.clock.now() + context_.message_timeout_ms);
   // The socket may have become writable before writing_ was set.
-  side_.park.poke(token_, {.writable = true});
+  context_.park.poke(token_, {.writable = true});
 }
 
 // Continues to send the response.
@@ -220,8 +220,8 @@
   // The last read may have taken less than had arrived, and the event loop signals only changes.
   const bool has_input = std::exchange(input_signalled_, false) || reader_.has_rest() || !socket_.quiet();
   links_.set_state(*this, carried_query_ ? ConnectionState::idle : ConnectionState::idle_no_query);
-  side_.park.wake_at(token_, state_since_ + side_.idle_timeout_ms);
-  if (has_input) side_.park.poke(token_, {.readable = true});
+  context_.park.wake_at(token_, state_since_ + context_.idle_timeout_ms);
+  if (has_input) context_.park.poke(token_, {.readable = true});
 }
 
 // Answers a message that cannot be accepted, and closes the link.
@@ -249,8 +249,8 @@
     io = socket_.receive(discarded.data(), discarded.size(), received_bytes);
   if (io == Io::late) return;
   const std::lock_guard lock(*mutex_);
-  if (io != Io::done || side_.clock.now() >= read_deadline_) return links_.remove_link(*this);
-  side_.park.poke(token_, {.readable = true});
+  if (io != Io::done || context_.clock.now() >= read_deadline_) return links_.remove_link(*this);
+  context_.park.poke(token_, {.readable = true});
 }
 
 }  // namespace woadtide::net
--- a/src/net/client_link.hpp
+++ b/src/net/client_link.hpp
@@ -54,7 +54,7 @@
   double idle_timeout_ms = 120'000;  // a link that has served a message is closed after this long without one
   double message_timeout_ms = 10'000;  // longest time for reading one message, and for writing one response
   std::atomic<bool> draining{false};   // every response closes its link
-  static constexpr double kAlways = 1e18;
+  static constexpr double kAlways = 1e18;  // no limit on read_cutoff_ms
   // Messages that are still being read after this time (ms on `clock`) are rejected: once clients are sent
   // away, a query must not start late.
   std::atomic<double> read_until{kAlways};
@@ -76,7 +76,7 @@
 class ClientLink : public park::Guest, public std::enable_shared_from_this<ClientLink> {
  public:
   // `socket` is connected. The link is not watched until ClientLinks registers it with the event loop.
-  ClientLink(Socket socket, ClientSide& side, ClientLinks& links);
+  ClientLink(Socket socket, ClientSide& context, ClientLinks& links);
 
   // Sends the response to the message that the frontend has taken. `fields` are complete header lines,
   // `closes` ends the link after the response, `is_query` says that the message was a query for workers. May
@@ -87,6 +87,7 @@
  private:
   friend class ClientLinks;
 
+  // On the event loop's thread.
   void ready(park::Signs signs) override;
   void late() override;
   void read_message();
@@ -100,7 +101,7 @@
   void discard_input();
 
   // Both may be destroyed once closed_ is set.
-  ClientSide& side_;
+  ClientSide& context_;
   ClientLinks& links_;
   const std::shared_ptr<std::mutex> mutex_;  // shared with links_, and outlives it
   Socket socket_;
@@ -111,8 +112,8 @@
   double read_deadline_ = 0, message_deadline_ = 0;
   bool reading_ = false;    // the time limits of the next message are running
   double received_at_ = 0;  // arrival time of the bytes that were read last
-  std::optional<double>
-      unread_since_;          // bytes arrived during processing of a message and are not all read yet
+  // Set while bytes that arrived during the processing of a message are not all read.
+  std::optional<double> unread_since_;
   bool peer_closed_ = false;  // the client has shut down its side
   // Used by the thread that calls reply(), and after that on the event loop's thread:
   std::string unsent_;  // the remainder of the response
--- a/src/net/client_links.cpp
+++ b/src/net/client_links.cpp
@@ -18,8 +18,8 @@
 constexpr double kMinSilenceToEvictMs = 400;  // a query that arrives in pieces may pause for this long
 // Timing of an evacuation. The load balancer in front of us asks every 0.1 s whether we are ready, and goes
 // on assigning links to us for 0.2 s after the first negative answer. Links stay open for that long: if they
-// were closed sooner, their clients would be sent here again. By 4 s after the start no link may be idle or
-// have a query of the last 2 s.
+// were closed sooner, their clients would be sent here again. By 4 s after the start no link may be idle, or
+// carry a query that arrived within the last 2 s.
 constexpr double kSweepIntervalMs = 50;
 constexpr double kBalancerNoticeMs = 400;
 // After this, links without a byte of their first query are closed too, unless they are younger than
@@ -27,69 +27,70 @@
 constexpr double kCloseFreshAfterMs = 1'500;
 constexpr double kMinFreshAgeMs = 500;
 // How long a client has to close after our side is shut down. A client that sends nothing valid is owed an
-// error or a close within 3 s: first_ms and this time stay below that and leave a margin for a late accept.
+// error or a close within 3 s: read_timeout_ms and this time stay below that and leave a margin for a late
+// accept.
 constexpr double kLingerMs = 500;
 }  // namespace
 
-ClientLinks::ClientLinks(Socket listener, std::size_t max_links, ClientSide& side)
-    : side_(side),
+ClientLinks::ClientLinks(Socket listener, std::size_t max_links, ClientSide& context)
+    : context_(context),
       max_links_(max_links),
       listener_(std::move(listener)),
       port_(listener_.port()),
       final_accepts_left_(kMaxFinalAccepts) {
   // Otherwise accept() would block if the client gave up between the event loop's notification and the call.
   ::fcntl(listener_.fd(), F_SETFL, O_NONBLOCK);
-  timer_token_ = side_.park.enter(*this, -1);
+  timer_token_ = context_.park.enter(*this, -1);
 }
 
-void ClientLinks::start() { listener_token_ = side_.park.enter(*this, listener_.fd()); }
+void ClientLinks::start() { listener_token_ = context_.park.enter(*this, listener_.fd()); }
 
 ClientLinks::~ClientLinks() { stop(); }
 
 // Messages that are being processed may still be answered; the response then goes nowhere.
 void ClientLinks::stop() {
-  side_.park.leave(listener_token_);
-  side_.park.leave(timer_token_);
-  side_.park.quiesce();  // a sweep_and_accept() that is running may still accept
+  context_.park.leave(listener_token_);
+  context_.park.leave(timer_token_);
+  context_.park.quiesce();  // a sweep_and_accept() that is running may still accept
   {
     const std::lock_guard lock(*mutex_);
     for (Links& links : links_)
       while (!links.empty()) remove_link(*links.front());
   }
-  side_.park.quiesce();
+  context_.park.quiesce();
 }
 
 void ClientLinks::stop_accepting() {
-  side_.draining = true;
-  evacuating_since_ = side_.clock.now() - kCloseFreshAfterMs;
+  context_.draining = true;
+  evacuating_since_ = context_.clock.now() - kCloseFreshAfterMs;
   stopping_ = true;
-  side_.park.poke(timer_token_, {});
+  context_.park.poke(timer_token_, {});
 }
 
 void ClientLinks::leave_to_other() {
   left_to_sibling_ = true;
-  side_.draining = true;
-  evacuating_since_ = side_.clock.now() - kBalancerNoticeMs;
+  context_.draining = true;
+  evacuating_since_ = context_.clock.now() - kBalancerNoticeMs;
   stopping_ = true;
-  side_.park.poke(timer_token_, {});
+  context_.park.poke(timer_token_, {});
 }
 
 void ClientLinks::set_most(std::size_t max_links) {
   max_links_ = max_links;
-  side_.park.poke(timer_token_, {});
+  context_.park.poke(timer_token_, {});
 }
 
 void ClientLinks::evacuate() {
   double not_evacuating = 0;
-  side_.draining = true;
+  context_.draining = true;
   evacuating_since_.compare_exchange_strong(not_evacuating,
-                                            side_.clock.now());  // a repeated call does not restart it
-  side_.park.poke(timer_token_, {});
+                                            context_.clock.now());  // a repeated call does not restart it
+  context_.park.poke(timer_token_, {});
 }
 
 void ClientLinks::activate() {
   evacuating_since_ = 0;
-  if (!stopping_) side_.draining = false;
+  if (!stopping_) context_.draining = false;
 }
 
 std::size_t ClientLinks::open() {
@@ -120,12 +121,12 @@
   if (link.closed_) return;
   in_state(state).splice(in_state(state).end(), in_state(link.state_), link.position_);
   link.state_ = state;
-  link.state_since_ = side_.clock.now();
+  link.state_since_ = context_.clock.now();
   if (state != ConnectionState::busy) wake_waiting_accept();  // it may be evicted now
 }
 
 void ClientLinks::wake_waiting_accept() {
-  if (std::exchange(accept_waiting_, false)) side_.park.poke(timer_token_, {});
+  if (std::exchange(accept_waiting_, false)) context_.park.poke(timer_token_, {});
 }
 
 // The only way in which we end a link that its client has not closed: our side is shut down, and input is
@@ -135,17 +136,17 @@
   if (link.closed_) return;
   link.socket_.shut(SHUT_WR);
   link.processing_ = false;
-  link.read_deadline_ = side_.clock.now() + kLingerMs;
+  link.read_deadline_ = context_.clock.now() + kLingerMs;
   set_state(link, ConnectionState::lingering);
-  side_.park.wake_at(link.token_, link.read_deadline_);
-  side_.park.poke(link.token_, {.readable = true});
+  context_.park.wake_at(link.token_, link.read_deadline_);
+  context_.park.poke(link.token_, {.readable = true});
 }
 
 void ClientLinks::remove_link(ClientLink& link) {
   if (std::exchange(link.closed_, true)) return;
   wake_waiting_accept();
   link.pending_request_.reset();
-  side_.park.leave(link.token_);
+  context_.park.leave(link.token_);
   in_state(link.state_).erase(link.position_);
 }
 
@@ -156,8 +157,8 @@
 
 void ClientLinks::sweep_and_accept() {
   // One time for both: with a second reading of the clock, what falls due between the two would be missed.
-  const double now = side_.clock.now();
-  if (evacuating_since_ > 0) side_.park.wake_at(timer_token_, now + kSweepIntervalMs);
+  const double now = context_.clock.now();
+  if (evacuating_since_ > 0) context_.park.wake_at(timer_token_, now + kSweepIntervalMs);
   sweep(now);
   if (listener_) accept_pending();
 }
@@ -175,10 +176,10 @@
     if (result == AcceptResult::accepted) result = accept_one();
   }
   if (result == AcceptResult::retry_later)
-    side_.park.wake_at(timer_token_, side_.clock.now() + kAcceptAgainMs);
-  if (result == AcceptResult::accepted) side_.park.poke(timer_token_, {});
+    context_.park.wake_at(timer_token_, context_.clock.now() + kAcceptAgainMs);
+  if (result == AcceptResult::accepted) context_.park.poke(timer_token_, {});
   if (result == AcceptResult::none_pending && stopping) {
-    side_.park.leave(listener_token_);
+    context_.park.leave(listener_token_);
     listener_ = Socket{};
   }
 }
@@ -195,7 +196,7 @@
     if (now >= evacuating_since + kCloseFreshAfterMs)
       close_silent(ConnectionState::fresh, now - kMinFreshAgeMs);
   }
-  if (now > side_.read_until) reject_partial_messages();
+  if (now > context_.read_until) reject_partial_messages();
 }
 
 // Rejects the messages that have arrived in part: no more of them will be read.
@@ -222,18 +223,18 @@
   Socket socket{Fd(::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
   if (!socket) return handle_accept_error(errno);
   socket.set_no_delay();
-  const auto link = std::make_shared<ClientLink>(std::move(socket), side_, *this);
+  const auto link = std::make_shared<ClientLink>(std::move(socket), context_, *this);
   const std::lock_guard lock(*mutex_);
   link->state_since_ = link->opened_at_;
   link->position_ = in_state(ConnectionState::fresh).insert(in_state(ConnectionState::fresh).end(), link);
   try {
-    link->token_ = side_.park.enter(link, link->socket_.fd());
+    link->token_ = context_.park.enter(link, link->socket_.fd());
   } catch (const std::exception& error) {
     core::log_line(std::string("acceptor: ") + error.what());
     remove_link(*link);
     return AcceptResult::accepted;
   }
-  side_.park.wake_at(link->token_, link->read_deadline_);
+  context_.park.wake_at(link->token_, link->read_deadline_);
   return AcceptResult::accepted;
 }
 
@@ -243,7 +244,7 @@
   if (kind != AcceptError::machine)
     return kind == AcceptError::nobody ? AcceptResult::none_pending : AcceptResult::accepted;
   const bool out_of_resources = error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
-  if (accept_error_log_.due(side_.clock.now()))
+  if (accept_error_log_.due(context_.clock.now()))
     core::log_line(out_of_resources ? "acceptor: out of descriptors or memory"
                                     : "acceptor: " + std::generic_category().message(error));
   return AcceptResult::retry_later;
@@ -261,8 +262,8 @@
   if (open_links() < max_links_) return AcceptResult::accepted;
   // No link is evicted unless a connection waits; and one that arrives after this check is not accepted, as
   // there is no place for it yet.
-  if (wait_for(listener_.fd(), POLLIN, -1, 0, side_.clock).first == 0) return AcceptResult::none_pending;
-  if (all_open_log_.due(side_.clock.now()))
+  if (wait_for(listener_.fd(), POLLIN, -1, 0, context_.clock).first == 0) return AcceptResult::none_pending;
+  if (all_open_log_.due(context_.clock.now()))
     core::log_line(
         "acceptor: all " + std::to_string(max_links_) + " client links are open, " +
         std::to_string(in_state(ConnectionState::fresh).size() + in_state(ConnectionState::reading).size()) +
@@ -276,7 +277,7 @@
 
 // Closes one link to make room; see make_room() for the order. False if every link is in use.
 bool ClientLinks::evict_one() {
-  const double now = side_.clock.now();
+  const double now = context_.clock.now();
   const auto oldest = [this](ConnectionState state, double active_before) {
     const Links& links = in_state(state);
     return !links.empty() && links.front()->state_since_ <= active_before ? links.front().get() : nullptr;
--- a/src/net/client_links.hpp
+++ b/src/net/client_links.hpp
@@ -14,11 +14,12 @@
 
 namespace woadtide::net {
 
+// Owns the listening socket and the client links. Public functions may be called on any thread.
 class ClientLinks : private park::Guest {
  public:
   // Allows at most `max_links` links at once; each uses one descriptor. Accepts only after start(). Throws
   // std::system_error.
-  ClientLinks(Socket listener, std::size_t max_links, ClientSide& side);
+  ClientLinks(Socket listener, std::size_t max_links, ClientSide& context);
   ~ClientLinks() override;
   ClientLinks(const ClientLinks&) = delete;
   ClientLinks& operator=(const ClientLinks&) = delete;
@@ -41,10 +42,12 @@
   void activate();
   // Number of open links, lingering ones included.
   std::size_t open();
+  // Number of links in this state.
   std::size_t count(ConnectionState state);
   // When the newest link in this state entered it, or received its newest byte in it (ms on the clock); 0 if
   // no link is in this state.
   double last_activity(ConnectionState state);
+  // The port of the listening socket.
   int port() const { return port_; }
 
  private:
@@ -76,7 +79,7 @@
   std::size_t open_links() const;
   Links& in_state(ConnectionState state) { return links_[static_cast<std::size_t>(state)]; }
 
-  ClientSide& side_;
+  ClientSide& context_;
   std::atomic<std::size_t> max_links_;
   Socket listener_;
   const int port_;
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -56,7 +56,7 @@
   }
 }
 
-bool closes_link(const Head& head) {
+bool declares_close(const Head& head) {
   return head.connection_names("close") || (head.http10 && !head.connection_names("keep-alive"));
 }
 
@@ -64,7 +64,7 @@
 // implementations could see two lengths: a second message could then be smuggled in the body of the first.
 std::optional<Framing> declared_framing(const Head& head) {
   Framing framing;
-  framing.closes = closes_link(head);
+  framing.closes = declares_close(head);
   std::optional<std::uint64_t> length;
   bool chunked = false;
   for (const Field& field : head.fields) {
@@ -150,14 +150,14 @@
 
 Framing framing_of_query(const Head& head) {
   const Framing framing =
-      declared_framing(head).value_or(Framing{Framing::Kind::length, 0, closes_link(head)});
+      declared_framing(head).value_or(Framing{Framing::Kind::length, 0, declares_close(head)});
   if (framing.length > kMaxBodyBytes) throw BadMessage(413, "body over 64 KiB");
   return framing;
 }
 
 Framing framing_of_answer(const Head& head) {
   if (head.status < 200 || head.status == 204 || head.status == 304)
-    return {Framing::Kind::length, 0, closes_link(head)};
+    return {Framing::Kind::length, 0, declares_close(head)};
   return declared_framing(head).value_or(Framing{Framing::Kind::to_end, 0, true});
 }
 
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -93,23 +93,26 @@
 class Intake {
  public:
   static constexpr double kNoLimit = 1e12;  // as gap_ms
-  // As a deadline: reads what has arrived, and returns Io::late at once if there is nothing.
+  // As a deadline: reads what has arrived, and returns IoResult::timed_out at once if there is nothing.
   static constexpr double kNoWait = -1;
   Intake(Socket& socket, const core::Clock& clock, BufferPool& pool)
       : socket_(socket), clock_(clock), pool_(pool) {}
 
-  // The bytes that were received and not consumed. Valid until more() is called.
+  // The bytes that were received and not consumed. Valid until read_more() is called.
   std::string_view view() const {
     return buffer_ ? std::string_view(buffer_->data() + begin_, end_ - begin_) : std::string_view();
   }
+  // Removes the first `count` bytes of view().
   void use(std::size_t count) { begin_ += count; }
-  // Reads more bytes, and waits for them until `deadline` (ms on the clock). Io::broken if the buffer is
-  // full.
+  // Reads more bytes, and waits for them until `deadline` (ms on the clock). IoResult::failed if the buffer
+  // is full.
   Io more(double deadline);
+  // The time on the clock, in ms.
   double now() const { return clock_.now(); }
   // Starts a new turn: at most kMaxReadsPerTurn reads with kNoWait.
   void begin_turn() { reads_ = 0; }
-  // The last Io::late does not mean that no bytes had arrived: no buffer was free, or the turn was over.
+  // The last IoResult::timed_out does not mean that no bytes had arrived: no buffer was free, or the turn was
+  // over.
   bool starved() const { return starved_; }
   // Reads until a head is complete and returns its size. nullopt if the link ended or time ran out; `result`
   // says which. Once the head has begun, more of it must arrive within `gap_ms` of its newest byte. Throws
@@ -132,10 +135,10 @@
   LineReader(Intake& intake, const Framing& framing) : intake_(intake), decoder_(framing) {}
 
   enum class Got { line, end, broken, late };
-  // Got::line: `line` holds the next line without its line end; it may be empty. Got::end: the body is
-  // complete. Got::broken: the link ended or failed within the body. Got::late: no line was complete by
-  // `deadline`, or a line or chunk that has begun did not continue within `gap_ms` of its newest byte. Throws
-  // BadMessage, also for a line longer than kMaxBodyBytes.
+  // Result::line: `line` holds the next line without its line end; it may be empty. Result::end: the body is
+  // complete. Result::failed: the link ended or failed within the body. Result::timed_out: no line was
+  // complete by `deadline`, or a line or chunk that has begun did not continue within `gap_ms` of its newest
+  // byte. Throws BadMessage, also for a line longer than kMaxBodyBytes.
   Got next(std::string& line, double deadline, double gap_ms = Intake::kNoLimit);
   // A line or chunk has arrived in part.
   bool begun() const { return !pending_.empty() || !decoder_.between_chunks(); }
--- a/src/net/message_reader.hpp
+++ b/src/net/message_reader.hpp
@@ -14,7 +14,7 @@
 
 namespace woadtide::net {
 
-// One complete request. Its views are valid as long as `hold`, which owns the buffers.
+// One complete request. Its views are valid as long as `storage`, which owns the buffers.
 struct Message {
   std::shared_ptr<const void> hold;
   Head head;
@@ -23,20 +23,21 @@
   std::vector<std::string_view> body;  // in pieces, with the chunk framing removed
 };
 
-// Incremental parser of the requests of one link. Use: read into room(), report the count by came(), and call
-// take() when came() returns true.
+// Incremental parser of the requests of one link. Use: read into free_space(), report the count by
+// bytes_received(), and call take() when bytes_received() returns true.
 class MessageReader {
  public:
   explicit MessageReader(BufferPool& pool) : pool_(pool) {}
 
   // Free space for the next bytes; empty if no buffer is available. From here on a buffer is held.
   std::span<char> room();
-  // `count` bytes were written to room(). True when a message is complete: take() must be called before more
-  // bytes are added. Throws BadMessage.
+  // `count` bytes were written to free_space(). True when a message is complete: take() must be called before
+  // more bytes are added. Throws BadMessage.
   bool came(std::size_t count);
   // Returns the complete message. Bytes behind it are kept for the next one.
   Message take();
-  // Bytes of the next message arrived together with the last one: room() and came(0) parse them.
+  // Bytes of the next message arrived together with the last one: free_space() and bytes_received(0) parse
+  // them.
   bool has_rest() const { return !surplus_.empty(); }
   // A message has arrived in part.
   bool begun() const { return storage_ && size_ + body_size_ > 0; }
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -142,7 +142,8 @@
 }
 
 ConnectError Socket::try_connect(const Address& address, double timeout_ms) {
-  // On Linux the send timeout also limits a blocking connect(); a shut() by another thread ends it early.
+  // On Linux the send timeout also limits a blocking connect(); a shut_down() by another thread ends it
+  // early.
   const auto micros = static_cast<long>(std::max(timeout_ms, 1.0) * 1000);
   timeval send_timeout{micros / 1'000'000, micros % 1'000'000};
   ::setsockopt(fd(), SOL_SOCKET, SO_SNDTIMEO, &send_timeout, sizeof send_timeout);
@@ -181,7 +182,7 @@
 
 namespace {
 // Sends the vectors from `first` on, in as few system calls as possible, and advances `first` and the vectors
-// past what was sent. Io::late: the kernel accepts no more at present.
+// past what was sent. IoResult::timed_out: the kernel accepts no more at present.
 Io send_remaining(int fd, std::vector<iovec>& remaining, std::size_t& first) {
   while (first < remaining.size()) {
     msghdr message{};
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -51,7 +51,7 @@
 };
 // Classifies an errno of accept().
 AcceptError accept_error(int error);
-// How long to wait after AcceptError::machine before the next accept().
+// How long to wait after AcceptError::system_refused before the next accept().
 constexpr double kAcceptAgainMs = 5;
 
 // Owns the descriptor of one TCP socket.
@@ -80,14 +80,14 @@
   bool connect(const Address& address, double timeout_ms) {
     return try_connect(address, timeout_ms) == ConnectError::none;
   }
-  // Io::done: `received_bytes`, at least one, were stored at `buffer`, which has room for `capacity` bytes.
-  // Waits until `deadline`.
+  // IoResult::done: `received_bytes`, at least one, were stored at `buffer`, which has room for `capacity`
+  // bytes. Waits until `deadline`.
   Io receive(char* buffer, std::size_t capacity, std::size_t& received_bytes, double deadline,
              const core::Clock& clock);
-  // Does not wait: Io::late if nothing has arrived.
+  // Does not wait: IoResult::timed_out if nothing has arrived.
   Io receive(char* buffer, std::size_t capacity, std::size_t& received_bytes);
-  // Sends all parts, in as few system calls as possible. Io::done: the kernel has accepted the last byte.
-  // Waits until `deadline`.
+  // Sends all parts, in as few system calls as possible. IoResult::done: the kernel has accepted the last
+  // byte. Waits until `deadline`.
   Io send(const std::vector<std::string_view>& parts, double deadline, const core::Clock& clock);
   // Sends what the kernel accepts without blocking, and returns its total size in bytes.
   std::size_t send_some(const std::vector<std::string_view>& parts);
@@ -98,6 +98,7 @@
   // Watches the connection for `duration_ms` of real time, or until bytes arrive. False if the peer has
   // closed or reset it.
   bool stays_open(double duration_ms) const;
+  // Shuts down one direction or both; the descriptor stays open.
   void shut(int how = SHUT_RDWR) const { ::shutdown(fd_.get(), how); }
 
   // Sets TCP_NODELAY.
