--- a/src/net/client_links.hpp
+++ b/src/net/client_links.hpp
@@ -14,7 +14,7 @@
 
 namespace woadtide::net {
 
-// Owns the listening socket and the client links. Public functions may be called on any thread.
+// Owns the listening socket and the client links.
 class ClientLinks : private park::Guest {
  public:
   // Allows at most `max_links` links at once; each uses one descriptor. Accepts only after start(). Throws
--- a/tests/end_test.cpp
+++ b/tests/end_test.cpp
@@ -1,4 +1,4 @@
-// The end of a process, in any order: nobody is called back who is gone.
+// Shutdown of a process in any order: no destroyed object is called back.
 #include <stdlib.h>
 
 #include <atomic>
@@ -11,23 +11,23 @@
 namespace woadtide {
 namespace {
 
-// An addition whose threads put into the inbox until it ends, as server links, the crew and the Keeper may:
-// it outlives the loop that empties it.
-class Chatter : public Addition {
+// An addition whose threads put messages into the inbox until it is destroyed, as server links, the thread
+// pool and the durable job service may: it outlives the decision loop that takes them.
+class InboxWriter : public Addition {
  public:
-  Chatter(const Parts& parts, bool opens) : parts_(parts), opens_(opens) {}
-  ~Chatter() override {
-    over_ = true;
-    for (std::thread& one : threads_) one.join();
+  InboxWriter(const Parts& parts, bool opens_ok) : parts_(parts), opens_ok_(opens_ok) {}
+  ~InboxWriter() override {
+    stopping_ = true;
+    for (std::thread& thread : threads_) thread.join();
   }
   core::Executor& executor() override { return parts_.links; }
   core::Witness* witness() override { return nullptr; }
   void open() override {
     for (int i = 0; i < 2; ++i)
       threads_.emplace_back([this] {
-        while (!over_) parts_.inbox.put_hint(core::ExecutionStarted{{"nobody", 0}});
+        while (!stopping_) parts_.inbox.put_hint(core::ExecutionStarted{{"nobody", 0}});
       });
-    if (!opens_) throw std::runtime_error("the part cannot be opened");
+    if (!opens_ok_) throw std::runtime_error("the addition cannot be opened");
   }
   void set_taking(bool) override {}
   std::size_t busy() override { return 0; }
@@ -35,47 +35,47 @@
 
  private:
   const Parts parts_;
-  const bool opens_;
-  std::atomic<bool> over_{false};
+  const bool opens_ok_;
+  std::atomic<bool> stopping_{false};
   std::vector<std::thread> threads_;
 };
 
-TEST_CASE("who takes the inbox's call back waits for the one that runs, and is called no more") {
+TEST_CASE("resetting the inbox's callback waits for a running call, and no call follows") {
   core::Inbox inbox;
-  std::atomic<bool> called{false}, let_go{false}, taken_back{false};
+  std::atomic<bool> called{false}, release{false}, reset_done{false};
   inbox.set_owner([&] {
     called = true;
-    while (!let_go) std::this_thread::yield();
-    CHECK_FALSE(taken_back);
+    while (!release) std::this_thread::yield();
+    CHECK_FALSE(reset_done);
   });
-  std::thread puts([&] { inbox.put(core::KinJoined{}); });
+  std::thread writer([&] { inbox.put(core::KinJoined{}); });
   while (!called) std::this_thread::yield();
   std::thread owner([&] {
     inbox.set_owner({});
-    taken_back = true;
+    reset_done = true;
   });
   std::this_thread::sleep_for(std::chrono::milliseconds(30));
-  CHECK_FALSE(taken_back);
-  let_go = true;
-  puts.join();
+  CHECK_FALSE(reset_done);
+  release = true;
+  writer.join();
   owner.join();
-  inbox.put(core::KinJoined{});  // kept, and nobody called
+  inbox.put(core::KinJoined{});  // kept, and no callback
   CHECK(inbox.take().size() == 2);
 }
 
-// Guards the end beside a busy machine: the sanitizers see a call on a loop that is gone.
-TEST_CASE("a node ends while others still put into its inbox") {
+// Shutdown on a busy machine: a sanitizer detects a call to a decision loop that was destroyed.
+TEST_CASE("a node ends while other threads still put messages into its inbox") {
   Port discovery;
   core::Clock clock;
   clock.set(kNow);
   for (int i = 0; i < 20; ++i) {
     const core::Config config = core::read_config(config_json({}, discovery.dial()));
-    Node node(config, clock, [](const Parts& parts) { return std::make_unique<Chatter>(parts, true); });
+    Node node(config, clock, [](const Parts& parts) { return std::make_unique<InboxWriter>(parts, true); });
   }
 }
 
-// Guards the same for a start that fails late: the other process' link calls back from threads of its own.
-TEST_CASE("a node that cannot be opened beside one that ends leaves nobody who calls it") {
+// The same for a start that fails late: the link of the sibling process calls back from threads of its own.
+TEST_CASE("a node that fails to open beside one that ends leaves no thread that calls it") {
   char folder[] = "/tmp/woadtide-end-XXXXXX";
   REQUIRE(::mkdtemp(folder));
   Port discovery;
@@ -85,11 +85,11 @@
     core::Config config = core::read_config(config_json({}, discovery.dial()));
     config.folder = folder;
     std::optional<Node> first(std::in_place, config, clock);
-    std::thread ends([&first] { first.reset(); });
+    std::thread closer([&first] { first.reset(); });
     CHECK_THROWS_AS(
-        Node(config, clock, [](const Parts& parts) { return std::make_unique<Chatter>(parts, false); }),
+        Node(config, clock, [](const Parts& parts) { return std::make_unique<InboxWriter>(parts, false); }),
         std::runtime_error);
-    ends.join();
+    closer.join();
   }
   std::filesystem::remove_all(folder);
 }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,18 +1,19 @@
-// Clauses of the operators' pages at their limits, on real connections: docs/terms-audit.md names each.
+// Requirements of the operators' documentation at their limits, on real connections; docs/terms-audit.md
+// lists them.
 #include "node_harness.hpp"
 
 namespace woadtide {
 namespace {
 
-// Real time, for what must not come.
-constexpr int kNothingMs = 200;
+// Real time to wait for input that must not arrive.
+constexpr int kNoInputMs = 200;
 
 std::string with_budget(std::string request, const std::string& budget) {
   return request.replace(request.find("5000m"), 5, budget);
 }
 
-// A request's time counts from its last byte, which came while another one was at work.
-TEST_CASE("a request that waited behind another one for longer than it has goes to no worker") {
+// The budget of a request counts from its last byte, which arrived while another request was being processed.
+TEST_CASE("a request that waited behind another one for longer than its budget goes to no worker") {
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())});
   Peer client = served.client();
@@ -20,16 +21,16 @@
   Peer link = worker.accept();
   link.message();
   client.write(with_budget(query_text("a2", "receipt-check"), "300m"));
-  std::this_thread::sleep_for(std::chrono::milliseconds(100));  // for the event loop to hear of it
+  std::this_thread::sleep_for(std::chrono::milliseconds(100));  // so that the event loop notices the bytes
   served.clock.set(kNow + 400);
   link.write(done("a1", "one"));
   CHECK(client.message().ends_with("\r\n\r\none"));
   CHECK(client.message().starts_with("HTTP/1.1 50"));
-  CHECK_FALSE(comes(link.socket, kNothingMs));
+  CHECK_FALSE(comes(link.socket, kNoInputMs));
 }
 
-// The same for one that came whole with the bytes of the one before.
-TEST_CASE("a request that came with another one has its time from then on") {
+// The same for a request that arrived complete together with the bytes of the one before it.
+TEST_CASE("a request that arrived together with another one has its budget from then on") {
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())});
   Peer client = served.client();
@@ -40,15 +41,14 @@
   link.write(done("a1", "one"));
   CHECK(client.message().ends_with("\r\n\r\none"));
   const std::string attempt = link.message();
-  const std::size_t told = attempt.find("X-Budget: ") + 10;
-  CHECK(std::stoi(attempt.substr(told)) <= 600);
+  const std::size_t budget_pos = attempt.find("X-Budget: ") + 10;
+  CHECK(std::stoi(attempt.substr(budget_pos)) <= 600);
   link.write(done("a2", "two"));
   CHECK(client.message().ends_with("\r\n\r\ntwo"));
 }
 
-// The one behind a request that had waited comes when it comes.
-TEST_CASE(
-    "a request that came while its connection rested has all of its time, whatever waited there before") {
+// The time a request waited must not be charged to the next request on the connection.
+TEST_CASE("a request that arrives on an idle connection has its full budget, whatever waited there before") {
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())});
   Peer client = served.client();
@@ -56,7 +56,7 @@
   Peer link = worker.accept();
   link.message();
   client.write(query_text("a2", "receipt-check"));
-  std::this_thread::sleep_for(std::chrono::milliseconds(100));  // for the event loop to hear of it
+  std::this_thread::sleep_for(std::chrono::milliseconds(100));  // so that the event loop notices the bytes
   for (const char* id : {"a1", "a2"}) {
     link.write(done(id, id));
     CHECK(client.message().ends_with(id));
@@ -67,36 +67,38 @@
   CHECK(link.message().find("X-Budget: 5000m") != std::string::npos);
 }
 
-// STANDING: requests that cross the end of a resting connection, whatever ends it.
-TEST_CASE("a request that comes as its resting connection's time ends is answered") {
-  constexpr int kTimes = 20;
-  constexpr double kIdleMs = 120'000;  // as net::ClientSide has it
+// Protocol rule: requests that arrive while an idle connection is being closed, for whatever reason, are
+// answered.
+TEST_CASE("a request that arrives as the idle timeout of its connection ends is answered") {
+  constexpr int kRepetitions = 20;
+  constexpr double kIdleTimeoutMs = 120'000;  // the default of net::ClientLinkContext
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())});
-  for (int i = 0; i < kTimes; ++i) {
+  for (int i = 0; i < kRepetitions; ++i) {
     Peer client = served.client();
     client.write("GET /health/live HTTP/1.1\r\n\r\n");
     CHECK(client.message().starts_with("HTTP/1.1 200 "));
-    // Refused at once: its class has no such budget left by then, whichever of the two is seen first.
+    // Refused at once, since its budget is 0, whether the request or the idle timeout is seen first.
     client.write(with_budget(query_text("a" + std::to_string(i), "receipt-check"), "0m"));
-    served.clock.set(served.clock.now() + kIdleMs);
+    served.clock.set(served.clock.now() + kIdleTimeoutMs);
     CHECK(client.message().starts_with("HTTP/1.1 503 "));
   }
 }
 
-// STANDING: where lists are pushed, what the agent has counts as told from the first moment of a new process.
-TEST_CASE("a process whose agent has told it nothing sends nothing by the list that it remembers") {
+// Protocol rule: where lists are pushed, what the agent holds counts as delivered from the start of a new
+// process.
+TEST_CASE("a process whose agent has sent it no list sends nothing to workers of its remembered list") {
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())}, [](nlohmann::json& config) {
     config["settings"]["Discovery"] = "pushed";
     config["discovery"] = "127.0.0.1:1";
   });
   CHECK(served.ask(query_text("a1", "receipt-check")).starts_with("HTTP/1.1 503 "));
-  CHECK_FALSE(comes(worker.socket, kNothingMs));
+  CHECK_FALSE(comes(worker.socket, kNoInputMs));
 }
 
-// PROTOCOL: SIGKILL comes no sooner than the longest deadline plus 0.7 s after SIGTERM.
-TEST_CASE("an end before the first list answers all and is over in time, however short the deadlines") {
+// Protocol: SIGKILL follows SIGTERM no sooner than the longest deadline plus 0.7 s.
+TEST_CASE("an end before the first list answers all queries in time, however short the deadlines") {
   constexpr double kDeadlineMs = 300, kKillMs = kDeadlineMs + 700;
   Port worker, discovery;
   nlohmann::json config = config_json(Hosts{host_json("w", worker.dial())}, discovery.dial());
@@ -106,13 +108,13 @@
   Node node(core::read_config(config), clock);
   Peer before = Peer::to(node.port()), during = Peer::to(node.port());
   before.write(with_budget(query_text("a1", "refund-payout"), "300m"));
-  const double told = clock.now();
+  const double ended_at = clock.now();
   std::thread end([&] { node.finish(); });
   CHECK(before.message().starts_with("HTTP/1.1 503 "));
   during.write(with_budget(query_text("a2", "refund-payout"), "300m"));
   CHECK(during.message().starts_with("HTTP/1.1 503 "));
   end.join();
-  CHECK(clock.now() - told < kKillMs);
+  CHECK(clock.now() - ended_at < kKillMs);
 }
 
 }  // namespace
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -14,13 +14,15 @@
 using woadtide::ListKind;
 using woadtide::Status;
 
-bool starts(const std::string& text, const std::string& with) { return text.rfind(with, 0) == 0; }
-bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool starts_with(const std::string& text, const std::string& prefix) { return text.rfind(prefix, 0) == 0; }
+bool contains(const std::string& text, const std::string& part) {
+  return text.find(part) != std::string::npos;
+}
 
 // Parsers
 // ----------------------------------------------------------------------------------------------------
 
-TEST_CASE("heads that could be read in two ways are refused") {
+TEST_CASE("ambiguous or malformed request heads are rejected") {
   const auto status = [](const std::string& fields, const std::string& line = "POST /api HTTP/1.1") {
     try {
       const std::string raw = line + "\r\n" + fields + "\r\n";
@@ -46,7 +48,7 @@
   CHECK(status(std::string(9'000, 'x') + "\r\n") == 431);
 }
 
-TEST_CASE("a chunked body is the same in one piece and byte by byte") {
+TEST_CASE("a chunked body decodes the same in one piece and byte by byte") {
   const std::string raw = "3;x=y\r\nabc\r\n0A\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\nrest";
   const auto decode = [&raw](std::size_t step) {
     BodyDecoder decoder(Framing{Framing::Kind::chunked, 0, false});
@@ -62,10 +64,10 @@
   CHECK_THROWS_AS(decoder.feed("zz\r\n", [](auto) {}), BadMessage);
 }
 
-// Whole dispatchers
-// ------------------------------------------------------------------------------------------
+// Complete dispatchers
+// ---------------------------------------------------------------------------------------
 
-TEST_CASE("a query reaches the worker as it was, and the next one uses the same server link") {
+TEST_CASE("a query reaches the worker unchanged, and the next one uses the same server link") {
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())});
   Peer client = served.client();
@@ -73,21 +75,21 @@
   client.write(keyed.insert(keyed.find("X-Budget"), "Idempotency-Key: 5C0f\r\n"));
   Peer link = worker.accept();
   for (const std::string id : {"aa01", "aa02"}) {
-    const std::string came = link.message();
-    CHECK(starts(came, "POST /api?user=7f HTTP/1.1\r\n"));
-    CHECK(has(came, "X-Call-Id: " + id + "\r\n"));
-    CHECK(has(came, "X-Budget: 5000m\r\n"));
-    CHECK(has(came, "Idempotency-Key: 5C0f\r\n") == (id == "aa01"));
-    CHECK(came.ends_with("\r\n\r\npay"));
+    const std::string request = link.message();
+    CHECK(starts_with(request, "POST /api?user=7f HTTP/1.1\r\n"));
+    CHECK(contains(request, "X-Call-Id: " + id + "\r\n"));
+    CHECK(contains(request, "X-Budget: 5000m\r\n"));
+    CHECK(contains(request, "Idempotency-Key: 5C0f\r\n") == (id == "aa01"));
+    CHECK(request.ends_with("\r\n\r\npay"));
     link.write(done(id, "ok " + id));
     const std::string answer = client.message();
-    CHECK(starts(answer, "HTTP/1.1 200 "));
+    CHECK(starts_with(answer, "HTTP/1.1 200 "));
     CHECK(answer.ends_with("\r\n\r\nok " + id));
     if (id == "aa01") client.write(query_text("aa02", "receipt-check"));
   }
 }
 
-TEST_CASE("a chunked query with its body in pieces is passed on whole") {
+TEST_CASE("a chunked query whose body arrives in pieces is forwarded complete") {
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())});
   Peer client = served.client();
@@ -95,16 +97,17 @@
   client.write("Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
   client.write("2\r\nde\r\n0\r\n\r\n");
   Peer link = worker.accept();
-  const std::string came = link.message();
-  CHECK(has(came, "X-Budget: 90m\r\n"));
-  CHECK_FALSE(has(came, "Transfer-Encoding"));
-  CHECK(came.ends_with("Content-Length: 5\r\n\r\nabcde"));
+  const std::string request = link.message();
+  CHECK(contains(request, "X-Budget: 90m\r\n"));
+  CHECK_FALSE(contains(request, "Transfer-Encoding"));
+  CHECK(request.ends_with("Content-Length: 5\r\n\r\nabcde"));
 }
 
-// Guards PROTOCOL's table: which outcome each answer of a worker is, told by what the dispatcher does next.
-TEST_CASE("a payout fails after what may have run, and is refused after what never did") {
+// The protocol's table of outcomes: how each answer of a worker is classified, seen by what the dispatcher
+// does next.
+TEST_CASE("a payout fails if it may have run, and is refused if it never ran") {
   struct Case {
-    const char* what;
+    const char* description;
     std::string answer;
     const char* status;
   };
@@ -112,22 +115,23 @@
   const Case cases[] = {
       {"failed", chunked({event(id, "failed")}), "502"},
       {"500", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", "502"},
-      {"503 without the mark", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "502"},
+      {"503 without X-Rejected", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "502"},
       {"lost", chunked({event(id, "started"), event(id, "lost")}), "502"},
       {"cut short", chunked({event(id, "started")}), "502"},
-      {"whole, but without a last line", chunked({event(id, "started")}) + "0\r\n\r\n", "502"},
+      {"complete, but without a final state", chunked({event(id, "started")}) + "0\r\n\r\n", "502"},
       {"no answer", "", "502"},
       {"not HTTP", "hello\r\n\r\n", "502"},
       {"not JSON", chunked({"{"}), "502"},
       {"another query's result", chunked({event("bb02", "done", R"(,"result":"x")")}), "502"},
-      {"a result that is no text", chunked({event(id, "done", R"(,"result":7)")}), "502"},
+      {"a result that is not a string", chunked({event(id, "done", R"(,"result":7)")}), "502"},
       {"returned", chunked({event(id, "returned")}), "503"},
-      {"503 turned away", "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", "503"},
-      {"503 with a word", "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 5\r\n\r\nfull\n", "503"},
-      {"504 turned away", "HTTP/1.1 504 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", "503"},
+      {"503 with X-Rejected", "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", "503"},
+      {"503 with X-Rejected and a body",
+       "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 5\r\n\r\nfull\n", "503"},
+      {"504 with X-Rejected", "HTTP/1.1 504 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", "503"},
   };
-  for (const Case& one : cases) {
-    CAPTURE(one.what);
+  for (const Case& test_case : cases) {
+    CAPTURE(test_case.description);
     Port worker;
     Served served(Hosts{host_json("w", worker.dial())});
     Peer client = served.client();
@@ -135,17 +139,17 @@
     {
       Peer link = worker.accept();
       link.message();
-      if (*one.answer.data()) link.write(one.answer);
+      if (*test_case.answer.data()) link.write(test_case.answer);
     }
     const std::string answer = client.message();
-    CHECK(starts(answer, std::string("HTTP/1.1 ") + one.status));
-    CHECK(has(answer, "Retry-After: 0.") == (std::string(one.status) == "503"));
+    CHECK(starts_with(answer, std::string("HTTP/1.1 ") + test_case.status));
+    CHECK(contains(answer, "Retry-After: 0.") == (std::string(test_case.status) == "503"));
   }
 }
 
-TEST_CASE("a query whose worker refuses the link goes to the other one") {
+TEST_CASE("a query whose worker refuses the connection goes to the other worker") {
   Port live;
-  // Bound, and nobody listens: a port that was given back could be dealt out again, to the dispatcher itself.
+  // Bound, but not listening: a port that was closed could be assigned again, to the dispatcher itself.
   const Address anywhere("127.0.0.1:0");
   const Socket dead = Socket::make(anywhere);
   REQUIRE(::bind(dead.fd(), reinterpret_cast<const sockaddr*>(&anywhere.storage), anywhere.length) == 0);
@@ -157,11 +161,11 @@
     Peer link = live.accept();
     link.message();
     link.write(done(id, "ok"));
-    CHECK(starts(client.message(), "HTTP/1.1 200 "));
+    CHECK(starts_with(client.message(), "HTTP/1.1 200 "));
   }
 }
 
-// Guards: a request written to a link that the worker had closed would end as a reset, and a payout fail.
+// A request written to a link that the worker has closed would end with a reset, and the payout would fail.
 TEST_CASE("a server link that the worker closed while it was idle is not used again") {
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())});
@@ -171,12 +175,12 @@
     Peer link = worker.accept();
     link.message();
     link.write(done(id, "ok"));
-    CHECK(starts(client.message(), "HTTP/1.1 200 "));
+    CHECK(starts_with(client.message(), "HTTP/1.1 200 "));
   }
 }
 
-// Guards: a payout that is done must not look failed because of what its worker wrote behind the result.
-TEST_CASE("a result counts though the body goes wrong behind it, and that link is not used again") {
+// A payout that is done must not be reported as failed because of what its worker wrote after the result.
+TEST_CASE("a result counts even if the body is malformed after it, and the link is not used again") {
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())});
   for (const std::string id : {"ab01", "ab02"}) {
@@ -185,12 +189,12 @@
     Peer link = worker.accept();
     link.message();
     link.write(chunked({event(id, "done", R"(,"result":"ok")")}) + "zz\r\n");
-    CHECK(starts(client.message(), "HTTP/1.1 200 "));
+    CHECK(starts_with(client.message(), "HTTP/1.1 200 "));
     CHECK(link.closed());
   }
 }
 
-TEST_CASE("bad input is told so with a 4xx, and its link closed") {
+TEST_CASE("invalid input is answered with a 4xx, and its link is closed") {
   Served served(Hosts{});
   const std::string big(70'000, 'x');
   const std::pair<std::string, const char*> cases[] = {
@@ -210,15 +214,15 @@
     Peer client = served.client();
     client.write(text);
     const std::string answer = client.message();
-    CHECK(starts(answer, std::string("HTTP/1.1 ") + status));
-    CHECK(has(answer, "Connection: close\r\n"));
+    CHECK(starts_with(answer, std::string("HTTP/1.1 ") + status));
+    CHECK(contains(answer, "Connection: close\r\n"));
     client.socket.shut(SHUT_WR);
     CHECK(client.closed());
   }
 }
 
-// Guards: passed on, each of these could be one query to us and another to the worker.
-TEST_CASE("a head whose fields could be read in two ways, or whose figures are none, is refused") {
+// If it were forwarded, each of these could be one query to us and another one to the worker.
+TEST_CASE("a head with ambiguous fields or invalid numbers is rejected") {
   Served served(Hosts{});
   const char* const fields[] = {
       "X-Call-Id: gg\r\n",        "x-call-class: receipt-check\r\n",
@@ -228,23 +232,23 @@
       "X-Call-Cost: -1\r\n",      "X-Call-Info: slots=inf\r\n",
       "X-Call-Info: slots=0\r\n", "X-Call-Cost: 99999999999999999999\r\n",
       "X-Name: caf\xc3\xa9\r\n",  "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n"};
-  const auto ask = [&](const std::string& more, const std::string& budget = "5000m", const char* id = "gg") {
+  const auto ask = [&](const std::string& extra, const std::string& budget = "5000m", const char* id = "gg") {
     return served.ask("POST /api HTTP/1.1\r\nX-Call-Id: " + std::string(id) +
-                      "\r\nX-Call-Class: receipt-check\r\nX-Budget: " + budget + "\r\n" + more + "\r\n");
+                      "\r\nX-Call-Class: receipt-check\r\nX-Budget: " + budget + "\r\n" + extra + "\r\n");
   };
-  CHECK(starts(ask("X-Call-Cost: 1500.5\r\nX-Call-Info: key=a,slots=2\r\n"), "HTTP/1.1 503 "));
-  for (const char* more : fields) {
-    CAPTURE(more);
-    CHECK(starts(ask(more), "HTTP/1.1 400 "));
+  CHECK(starts_with(ask("X-Call-Cost: 1500.5\r\nX-Call-Info: key=a,slots=2\r\n"), "HTTP/1.1 503 "));
+  for (const char* extra : fields) {
+    CAPTURE(extra);
+    CHECK(starts_with(ask(extra), "HTTP/1.1 400 "));
   }
   for (const char* budget : {"nanm", "infm", "-5m", "1e5m", "m", "99999999999m", "0x5m", "5s", ""}) {
     CAPTURE(budget);
-    CHECK(starts(ask("", budget), "HTTP/1.1 400 "));
+    CHECK(starts_with(ask("", budget), "HTTP/1.1 400 "));
   }
-  CHECK(starts(ask("", "5000m", "g g"), "HTTP/1.1 400 "));
+  CHECK(starts_with(ask("", "5000m", "g g"), "HTTP/1.1 400 "));
 }
 
-TEST_CASE("what Connection names goes no further, and the largest body arrives whole") {
+TEST_CASE("fields listed in Connection are not forwarded, and the largest body arrives complete") {
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())});
   std::string body;
@@ -255,14 +259,14 @@
       "POST /api HTTP/1.1\r\nX-Call-Id: aa\r\nX-Call-Class: receipt-check\r\nX-Budget: 500m\r\n"
       "Connection: X-Hop\r\nX-Hop: 1\r\nX-Kept: 1\r\nContent-Length: " +
       std::to_string(body.size()) + "\r\n\r\n" + body);
-  const std::string came = worker.accept().message();
-  CHECK_FALSE(has(came, "X-Hop"));
-  CHECK(has(came, "X-Kept: 1\r\n"));
-  CHECK(came.ends_with("\r\n\r\n" + body));
+  const std::string request = worker.accept().message();
+  CHECK_FALSE(contains(request, "X-Hop"));
+  CHECK(contains(request, "X-Kept: 1\r\n"));
+  CHECK(request.ends_with("\r\n\r\n" + body));
 }
 
-// Guards: tried at one worker after the other, a bad query would have them all left alone for a while.
-TEST_CASE("a query that a worker finds wrong goes to no other, and the worker stays in use") {
+// If an invalid query were tried at one worker after the other, all of them would be ejected for a while.
+TEST_CASE("a query that a worker rejects as invalid goes to no other worker, and the worker stays in use") {
   Port worker;
   Served served(Hosts{host_json("w", worker.dial())});
   Peer client = served.client();
@@ -270,187 +274,194 @@
   Peer link = worker.accept();
   link.message();
   link.write("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n");
-  CHECK(starts(client.message(), "HTTP/1.1 400 "));
-  Peer next = served.client();
-  next.write(query_text("ac02", "receipt-check"));
+  CHECK(starts_with(client.message(), "HTTP/1.1 400 "));
+  Peer second_client = served.client();
+  second_client.write(query_text("ac02", "receipt-check"));
   link.message();
   link.write(done("ac02", "ok"));
-  CHECK(starts(next.message(), "HTTP/1.1 200 "));
+  CHECK(starts_with(second_client.message(), "HTTP/1.1 200 "));
 }
 
-// Client links by themselves, the loop's side of them played by the test
+// Client links alone; the test acts as the decision loop
 // ----------------------------------------------------------------------
 
-struct Front {
-  explicit Front(std::size_t most, double first_ms = 2'000) {
+struct ClientLinksFixture {
+  explicit ClientLinksFixture(std::size_t max_links, double read_timeout_ms = 2'000) {
     clock.set(kNow);
-    side.first_ms = first_ms;
-    http.ready = true;
+    context.first_ms = read_timeout_ms;
+    frontend.ready = true;
     Socket listener = Socket::listen_at(Address("127.0.0.1:0"));
     port = listener.port();
-    links.emplace(std::move(listener), most, side);
+    links.emplace(std::move(listener), max_links, context);
     links->start();
   }
-  // So many links stand so; what a thread does behind an answer has been done then.
-  void await(ConnectionState state, std::size_t count) {
+  // Waits until `count` links are in this state. What a thread does after a response is finished then.
+  void await_count(ConnectionState state, std::size_t count) {
     const core::Clock real;
-    for (const double end = real.now() + 10'000; links->count(state) != count;) {
-      REQUIRE(real.now() < end);
+    for (const double deadline = real.now() + 10'000; links->count(state) != count;) {
+      REQUIRE(real.now() < deadline);
       std::this_thread::yield();
     }
   }
-  // A link stands so, and moved last at this time.
-  void await_moved(ConnectionState state, double at) {
+  // Waits until the newest link in this state had its last activity `at` ms after kNow.
+  void await_last_activity(ConnectionState state, double at) {
     const core::Clock real;
-    for (const double end = real.now() + 10'000; links->last_activity(state) != kNow + at;) {
-      REQUIRE(real.now() < end);
+    for (const double deadline = real.now() + 10'000; links->last_activity(state) != kNow + at;) {
+      REQUIRE(real.now() < deadline);
       std::this_thread::yield();
     }
   }
-  Peer served() {
+  // A client whose health check was answered.
+  Peer connect_and_check() {
     Peer peer = Peer::to(port);
-    ask(peer);
+    check_health(peer);
     return peer;
   }
-  // One whose query was answered.
-  Peer worked(const std::string& id) {
+  // A client whose query was answered.
+  Peer connect_and_query(const std::string& id) {
     Peer peer = Peer::to(port);
     peer.write(query_text(id, "refund-payout"));
-    next<core::QueryArrived>().asker->answer({core::AnswerKind::served, "ok"});
-    CHECK(starts(peer.message(), "HTTP/1.1 200 "));
+    next_message<core::QueryArrived>().asker->answer({core::AnswerKind::served, "ok"});
+    CHECK(starts_with(peer.message(), "HTTP/1.1 200 "));
     return peer;
   }
-  static void ask(Peer& peer) {
+  static void check_health(Peer& peer) {
     peer.write("GET /health/ready HTTP/1.1\r\n\r\n");
-    CHECK(starts(peer.message(), "HTTP/1.1 200 "));
+    CHECK(starts_with(peer.message(), "HTTP/1.1 200 "));
   }
+  // The next message to the decision loop, which must be of this kind.
   template <class Kind>
-  Kind next() {
-    for (int tries = 0; come.empty() && tries < 100; ++tries) inbox.wait(100), come = inbox.take();
-    REQUIRE_FALSE(come.empty());
-    const core::Message message = std::move(come.front());
-    come.pop_front();
+  Kind next_message() {
+    for (int tries = 0; messages.empty() && tries < 100; ++tries) inbox.wait(100), messages = inbox.take();
+    REQUIRE_FALSE(messages.empty());
+    const core::Message message = std::move(messages.front());
+    messages.pop_front();
     return std::get<Kind>(message);
   }
 
   core::Clock clock;
-  BufferPool pool{16};  // before whatever may hold a buffer
+  BufferPool pool{16};  // declared before everything that may hold a buffer
   core::Inbox inbox;
-  std::deque<core::Message> come;
-  park::Park park{clock};
-  front::http::Front http{inbox};
-  ClientSide side{clock, pool, park, http};
+  std::deque<core::Message> messages;  // taken from the inbox, not returned yet
+  park::Park event_loop{clock};
+  front::http::Front frontend{inbox};
+  ClientSide context{clock, pool, event_loop, frontend};
   int port = 0;
   std::optional<ClientLinks> links;
 };
 
-TEST_CASE("at the edge the link that never completed a query gives way, then the one that stood idle") {
-  Front front(2);
-  Peer first = front.worked("a"), half = Peer::to(front.port);
+TEST_CASE("at the limit a link that never completed a query is evicted first, then the longest idle link") {
+  ClientLinksFixture client_side(2);
+  Peer first = client_side.connect_and_query("a"), half = Peer::to(client_side.port);
   half.write("POST /api HTTP/1.1\r\n");
-  front.await(ConnectionState::reading, 1);
-  front.clock.set(kNow + 500);
-  Peer third = front.worked("b");
+  client_side.await_count(ConnectionState::reading, 1);
+  client_side.clock.set(kNow + 500);
+  Peer third = client_side.connect_and_query("b");
   CHECK(half.closed());
-  front.await(ConnectionState::idle, 2);
-  Front::ask(first);
-  front.await(ConnectionState::idle, 2);
-  Peer fourth = front.worked("c");
+  client_side.await_count(ConnectionState::idle, 2);
+  ClientLinksFixture::check_health(first);
+  client_side.await_count(ConnectionState::idle, 2);
+  Peer fourth = client_side.connect_and_query("c");
   CHECK(third.closed());
-  Front::ask(first);
+  ClientLinksFixture::check_health(first);
 }
 
-// Guards what clients that send nothing good are owed, an error or a close 3 s from connecting, and that they
-// hold no place for longer. One that drips would renew any limit that counts from its last byte.
-TEST_CASE("a link's first query must have come whole by a limit that counts from accept") {
-  Front front(8, 20);
-  front.side.read_gap_ms = 0;
-  Peer served = front.served(), silent = Peer::to(front.port), dripping = Peer::to(front.port);
-  dripping.write("P");
-  front.await(ConnectionState::reading, 1);
-  front.await(ConnectionState::fresh, 1);
-  front.clock.set(kNow + 19);
-  dripping.write("OST /api");
-  front.clock.set(kNow + 20);
-  CHECK(starts(dripping.message(), "HTTP/1.1 408 "));
+// Clients that send nothing valid are owed an error or a close within 3 s of connecting, and must not hold a
+// place for longer. A client that sends a byte now and then would renew any limit that counts from its last
+// byte.
+TEST_CASE("the first query of a link must be complete within a limit that counts from accept") {
+  ClientLinksFixture client_side(8, 20);
+  client_side.context.read_gap_ms = 0;
+  Peer served = client_side.connect_and_check(), silent = Peer::to(client_side.port),
+       trickling = Peer::to(client_side.port);
+  trickling.write("P");
+  client_side.await_count(ConnectionState::reading, 1);
+  client_side.await_count(ConnectionState::fresh, 1);
+  client_side.clock.set(kNow + 19);
+  trickling.write("OST /api");
+  client_side.clock.set(kNow + 20);
+  CHECK(starts_with(trickling.message(), "HTTP/1.1 408 "));
   CHECK(silent.closed());
-  Front::ask(served);
+  ClientLinksFixture::check_health(served);
 }
 
-// Guards good queries that come in pieces for longer than a silent link may stay; and that this has an end.
-TEST_CASE("a first query that goes on coming has time for it, one that stops halfway has not") {
-  Front front(8, 2'000);
-  Peer slow = Peer::to(front.port), stopped = Peer::to(front.port);
+// Valid queries may arrive in pieces for longer than a silent link may stay open, but not without end.
+TEST_CASE("a first query that keeps arriving gets more time, one that stops halfway does not") {
+  ClientLinksFixture client_side(8, 2'000);
+  Peer slow = Peer::to(client_side.port), stopped = Peer::to(client_side.port);
   const std::string text = query_text("slow", "refund-payout");
-  const auto read = [&](double at) {  // its bytes have been read with the clock there
-    front.clock.set(kNow + at);
-    front.await_moved(ConnectionState::reading, at);
+  const auto await_read = [&](double at) {  // returns when bytes have been read with the clock at `at`
+    client_side.clock.set(kNow + at);
+    client_side.await_last_activity(ConnectionState::reading, at);
   };
   stopped.write("POST /api");
-  front.await(ConnectionState::reading, 1);
+  client_side.await_count(ConnectionState::reading, 1);
   for (int i = 0; i < 5; ++i) {
     const std::size_t size = text.size() / 6;
-    front.clock.set(kNow + 900 * i);
+    client_side.clock.set(kNow + 900 * i);
     slow.write(text.substr(static_cast<std::size_t>(i) * size, size));
-    read(900 * i);
+    await_read(900 * i);
   }
-  CHECK(starts(stopped.message(), "HTTP/1.1 408 "));
+  CHECK(starts_with(stopped.message(), "HTTP/1.1 408 "));
   slow.write(text.substr(text.size() / 6 * 5));
-  CHECK(front.next<core::QueryArrived>().query.id == "slow");
-  Peer endless = Peer::to(front.port);
-  const double from = front.clock.now() - kNow;
+  CHECK(client_side.next_message<core::QueryArrived>().query.id == "slow");
+  Peer endless = Peer::to(client_side.port);
+  const double start = client_side.clock.now() - kNow;
   for (double at = 0; at < 10'000; at += 900) {
-    front.clock.set(kNow + from + at);
+    client_side.clock.set(kNow + start + at);
     endless.write("x");
-    read(from + at);
+    await_read(start + at);
   }
-  front.clock.set(kNow + from + 10'000);
-  CHECK(starts(endless.message(), "HTTP/1.1 408 "));
+  client_side.clock.set(kNow + start + 10'000);
+  CHECK(starts_with(endless.message(), "HTTP/1.1 408 "));
 }
 
-// Guards slow queries at the edge: thousands that ask for health and stay, or say half a word, go first.
+// Slow queries at the limit of links: the many clients that checked health and stayed, or sent half a head,
+// must be evicted before them.
 TEST_CASE(
-    "at the edge links that asked and stayed go before silent ones, and a query that is coming in stays") {
-  Front front(3);
-  Peer asked = front.served(), silent = Peer::to(front.port), coming = Peer::to(front.port);
-  front.await(ConnectionState::fresh, 2);
-  front.await(ConnectionState::idle_no_query, 1);
-  front.clock.set(kNow + 500);
-  coming.write("POST /api");
-  front.await(ConnectionState::reading, 1);
-  Peer first = Peer::to(front.port);
-  CHECK(asked.closed());
-  Peer second = Peer::to(front.port);
+    "at the limit links without a query are evicted before silent ones, and an arriving query is kept") {
+  ClientLinksFixture client_side(3);
+  Peer checked = client_side.connect_and_check(), silent = Peer::to(client_side.port),
+       arriving = Peer::to(client_side.port);
+  client_side.await_count(ConnectionState::fresh, 2);
+  client_side.await_count(ConnectionState::idle_no_query, 1);
+  client_side.clock.set(kNow + 500);
+  arriving.write("POST /api");
+  client_side.await_count(ConnectionState::reading, 1);
+  Peer first = Peer::to(client_side.port);
+  CHECK(checked.closed());
+  Peer second = Peer::to(client_side.port);
   CHECK(silent.closed());
-  Peer third = front.served();
-  Peer fourth = front.served();
-  front.await(ConnectionState::reading, 1);
+  Peer third = client_side.connect_and_check();
+  Peer fourth = client_side.connect_and_check();
+  client_side.await_count(ConnectionState::reading, 1);
   const std::string text = query_text("q", "refund-payout");
-  coming.write(text.substr(9));
-  CHECK(front.next<core::QueryArrived>().query.id == "q");
+  arriving.write(text.substr(9));
+  CHECK(client_side.next_message<core::QueryArrived>().query.id == "q");
 }
 
-// Guards memory: hundreds of links that say nothing must cost no buffer.
+// Memory: hundreds of silent links must not use a buffer.
 TEST_CASE("a link without a query holds no buffer") {
-  Front front(8);
-  Peer silent = Peer::to(front.port), served = front.served(), after = front.served();
-  front.await(ConnectionState::idle_no_query, 2);
-  CHECK(front.links->open() == 3);
-  CHECK(front.pool.out() == 0);
+  ClientLinksFixture client_side(8);
+  Peer silent = Peer::to(client_side.port), served = client_side.connect_and_check(),
+       after = client_side.connect_and_check();
+  client_side.await_count(ConnectionState::idle_no_query, 2);
+  CHECK(client_side.links->open() == 3);
+  CHECK(client_side.pool.out() == 0);
 }
 
-TEST_CASE("a client that closes while its query is at work is told to the loop, and whose it was") {
-  Front front(8);
-  std::optional<Peer> client = Peer::to(front.port);
+TEST_CASE("the decision loop is notified which query's client has closed during processing") {
+  ClientLinksFixture client_side(8);
+  std::optional<Peer> client = Peer::to(client_side.port);
   client->write(query_text("q", "refund-payout"));
-  const auto arrived = front.next<core::QueryArrived>();
+  const auto arrived = client_side.next_message<core::QueryArrived>();
   client.reset();
-  const auto gone = front.next<core::ClientGone>();
+  const auto gone = client_side.next_message<core::ClientGone>();
   CHECK(gone.query == "q");
   CHECK(gone.asker == arrived.asker);
 }
 
-TEST_CASE("links and buffers stay within the descriptors and the memory that are allowed") {
+TEST_CASE("links and buffers stay within the allowed descriptors and memory") {
   for (const std::size_t allowed : {256, 384, 1024, 100'000})
     for (const std::size_t memory_mb : {32, 48, 192}) {
       CAPTURE(allowed);
@@ -465,83 +476,89 @@
     }
 }
 
-// Server links and the host group by themselves
+// Server links and the service discovery client alone
 // -----------------------------------------------------------------
 
-struct Bench {
-  static constexpr double kSilence = 50;
-  explicit Bench(const char* health, std::size_t most = 8, double settle_ms = 1, park::Crew::Start start = {})
-      : crew({}, std::move(start)),
-        hosts(discovery.dial(),
-              core::read_host_list(
-                  {{"seq", 1}, {"whole", true}, {"hosts", {host_json("w", worker.dial(), health)}}}),
-              standing(), inbox, pool, park, crew, HostGroup::Way::asked, kSilence),
-        servers({most, 5'000, 60'000, settle_ms}, clock, inbox, hosts, pool, park, crew) {
-    next();  // the remembered list
+struct ServerLinksFixture {
+  static constexpr double kSilenceMs = 50;
+  explicit ServerLinksFixture(const char* health, std::size_t max_links = 8, double settle_ms = 1,
+                              park::Crew::Start start = {})
+      : thread_pool({}, std::move(start)),
+        endpoint_list(discovery.dial(),
+                      core::read_host_list(
+                          {{"seq", 1}, {"whole", true}, {"hosts", {host_json("w", worker.dial(), health)}}}),
+                      stopped_clock(), inbox, pool, event_loop, thread_pool, HostGroup::Way::asked,
+                      kSilenceMs),
+        servers({max_links, 5'000, 60'000, settle_ms}, clock, inbox, endpoint_list, pool, event_loop,
+                thread_pool) {
+    next_message();  // the remembered endpoint list
   }
-  core::Clock& standing() {
+  core::Clock& stopped_clock() {
     clock.set(kNow);
     return clock;
   }
-  // The next message; while none comes, the clock goes on by `ms` at a time.
-  core::Message next(double ms = 0) {
-    for (int tries = 0; come.empty(); ++tries) {
+  // The next message to the decision loop. While there is none, the clock advances in steps of `step_ms`.
+  core::Message next_message(double step_ms = 0) {
+    for (int tries = 0; messages.empty(); ++tries) {
       inbox.wait(100);
       for (core::Message& message : inbox.take())
         if (std::holds_alternative<core::ExecutionSent>(message))
-          sent += 1;
+          sent_executions += 1;
         else
-          come.push_back(std::move(message));
-      clock.set(clock.now() + ms);
-      REQUIRE_MESSAGE(tries < 100, "no message came");
+          messages.push_back(std::move(message));
+      clock.set(clock.now() + step_ms);
+      REQUIRE_MESSAGE(tries < 100, "no message arrived");
     }
-    core::Message message = std::move(come.front());
-    come.pop_front();
+    core::Message message = std::move(messages.front());
+    messages.pop_front();
     return message;
   }
-  void start(const std::string& id, double lasts = 60'000, double not_after = core::Execution::kAlways) {
+  void start(const std::string& id, double time_left_ms = 60'000,
+             double not_after = core::Execution::kAlways) {
     core::Execution execution;
     execution.key = {id, 0};
     execution.worker = "w";
     execution.parcel = {nullptr, "POST", "/api", "X-Call-Id: 1\r\n", {"pay"}};
-    execution.deadline = clock.now() + lasts;
+    execution.deadline = clock.now() + time_left_ms;
     execution.not_after = not_after;
     servers.start(std::move(execution));
   }
-  // The first bytes of one have come here; with a long settling the last one waits until we speak.
-  Peer begun() {
+  // Accepts a link on which the first bytes of a query arrive. With a long settling time the last byte is
+  // held back until send_continue().
+  Peer accept_partial_query() {
     Peer link = worker.accept();
     REQUIRE(link.read_some());
     CHECK_FALSE(link.come.ends_with("pay"));
     return link;
   }
-  static void speak(Peer& link) { link.write("HTTP/1.1 100 Continue\r\n\r\n"); }
-  // Whatever comes there until its end, the last byte does not.
-  static void check_never_ran(Peer& link) {
+  static void send_continue(Peer& link) { link.write("HTTP/1.1 100 Continue\r\n\r\n"); }
+  // Reads the link to its end, and checks that the last byte of the query did not arrive.
+  static void check_never_completed(Peer& link) {
     while (link.read_some()) {
     }
     CHECK_FALSE(link.come.ends_with("pay"));
   }
-  Status ending() { return std::get<core::ExecutionEnded>(next()).status; }
-  // A link whose execution has ended with its result, but for the end of the body.
-  Peer link_without_tail() {
+  // The status of the next message, which must be the end of an execution.
+  Status next_status() { return std::get<core::ExecutionEnded>(next_message()).status; }
+  // A link whose execution has ended with its result, while the end of the body is still missing.
+  Peer link_with_unfinished_body() {
     start("q");
     Peer link = worker.accept();
     link.message();
     const std::string answer = done("q", "ok");
     link.write(answer.substr(0, answer.size() - 5));
-    CHECK(std::holds_alternative<core::ExecutionStarted>(next()));
-    CHECK(ending() == Status::ok);
+    CHECK(std::holds_alternative<core::ExecutionStarted>(next_message()));
+    CHECK(next_status() == Status::ok);
     return link;
   }
-  // A link that has served one execution and is kept.
+  // A link that has served one execution and is kept open.
   Peer kept_link() {
     start("q");
     Peer link = worker.accept();
     link.message();
     link.write(done("q", "ok"));
-    CHECK(std::holds_alternative<core::ExecutionStarted>(next()));
-    CHECK(ending() == Status::ok);
+    CHECK(std::holds_alternative<core::ExecutionStarted>(next_message()));
+    CHECK(next_status() == Status::ok);
     return link;
   }
 
@@ -549,577 +566,586 @@
   core::Clock clock;
   core::Inbox inbox;
   BufferPool pool{16};
-  std::deque<core::Message> come;
-  int sent = 0;  // executions, to their last byte
-  park::Park park{clock};
-  park::Crew crew;
-  HostGroup hosts;
+  std::deque<core::Message> messages;  // taken from the inbox, not returned yet
+  int sent_executions = 0;             // executions that were sent up to their last byte
+  park::Park event_loop{clock};
+  park::Crew thread_pool;
+  HostGroup endpoint_list;
   ServerLinks servers;
 };
 
-// Guards the one limit for two processes: the first must make room when the next one starts.
-TEST_CASE("a bound that shrinks takes links and buffers away that are not in use") {
-  Front front(8);
-  Peer first = front.worked("a"), second = front.worked("b"), busy = Peer::to(front.port);
+// Two processes share one limit: the first must make room when the next one starts.
+TEST_CASE("lowering a limit closes links and frees buffers that are not in use") {
+  ClientLinksFixture client_side(8);
+  Peer first = client_side.connect_and_query("a"), second = client_side.connect_and_query("b"),
+       busy = Peer::to(client_side.port);
   busy.write(query_text("c", "refund-payout"));
-  const auto arrived = front.next<core::QueryArrived>();
-  front.await(ConnectionState::idle, 2);
-  front.links->set_most(1);
+  const auto arrived = client_side.next_message<core::QueryArrived>();
+  client_side.await_count(ConnectionState::idle, 2);
+  client_side.links->set_most(1);
   CHECK(first.closed());
   CHECK(second.closed());
   arrived.asker->answer({core::AnswerKind::served, "ok"});
-  CHECK(starts(busy.message(), "HTTP/1.1 200 "));
+  CHECK(starts_with(busy.message(), "HTTP/1.1 200 "));
 
   BufferPool pool(2);
-  std::optional<Buffer> one = pool.take(0, front.clock), two = pool.take(0, front.clock);
+  std::optional<Buffer> one = pool.take(0, client_side.clock), two = pool.take(0, client_side.clock);
   pool.set_most(1);
   one.reset();
-  CHECK_FALSE(pool.take(0, front.clock));
+  CHECK_FALSE(pool.take(0, client_side.clock));
   two.reset();
-  CHECK(pool.take(0, front.clock));
+  CHECK(pool.take(0, client_side.clock));
 
-  Bench bench("Ready");
-  Peer link = bench.kept_link();
-  bench.servers.set_most(0);
+  ServerLinksFixture worker_side("Ready");
+  Peer link = worker_side.kept_link();
+  worker_side.servers.set_most(0);
   CHECK(link.closed());
 }
 
-// Guards the rule on drains: a connect can outlive the notice.
-TEST_CASE("a worker that drains by the time the link is up gets no byte") {
-  Bench bench("Terminating");
-  bench.start("q");
-  CHECK(bench.ending() == Status::moot);  // and once only: no fresh link would change it
-  CHECK(bench.worker.accept().closed());
+// The rule on drains: the notice can arrive while a connect is in progress.
+TEST_CASE("a worker that drains by the time the link is connected gets no byte") {
+  ServerLinksFixture worker_side("Terminating");
+  worker_side.start("q");
+  CHECK(worker_side.next_status() == Status::moot);  // and only once: a new link would not change it
+  CHECK(worker_side.worker.accept().closed());
 }
 
-// Guards an operator's word: a connect, or a turn in a queue, can outlive it, and probes go around the
-// module.
-TEST_CASE("a worker that an operator takes out gets no byte of what was on its way, until the call back") {
-  Bench bench("Ready");
-  bench.servers.exclude("w", true);
-  bench.start("q");
-  CHECK(bench.ending() == Status::moot);
-  CHECK(bench.worker.accept().closed());
-  bench.servers.probe("w");
-  CHECK(std::get<core::ProbeEnded>(bench.next()).status == Status::moot);
-  CHECK(bench.worker.accept().closed());
-  bench.servers.exclude("w", false);
-  bench.start("r");
-  Peer link = bench.worker.accept();
+// An operator's exclusion: it can arrive while a connect is in progress or an execution is queued, and probes
+// do not pass through the module.
+TEST_CASE(
+    "a worker that an operator excludes gets no byte of pending executions until it is included again") {
+  ServerLinksFixture worker_side("Ready");
+  worker_side.servers.exclude("w", true);
+  worker_side.start("q");
+  CHECK(worker_side.next_status() == Status::moot);
+  CHECK(worker_side.worker.accept().closed());
+  worker_side.servers.probe("w");
+  CHECK(std::get<core::ProbeEnded>(worker_side.next_message()).status == Status::moot);
+  CHECK(worker_side.worker.accept().closed());
+  worker_side.servers.exclude("w", false);
+  worker_side.start("r");
+  Peer link = worker_side.worker.accept();
   CHECK(link.message().ends_with("pay"));
   link.write(done("r", "ok"));
-  CHECK(std::holds_alternative<core::ExecutionStarted>(bench.next()));
-  CHECK(bench.ending() == Status::ok);
-  CHECK(bench.sent == 1);  // what was written whole, and no probe
+  CHECK(std::holds_alternative<core::ExecutionStarted>(worker_side.next_message()));
+  CHECK(worker_side.next_status() == Status::ok);
+  CHECK(worker_side.sent_executions == 1);  // the complete query, and no probe
 }
 
-// Guards a deduplicated class: the connect can outlive the window in which a repeat is known for one.
+// A deduplicated class: the window in which a repeat is recognised can end while a connect is in progress.
 TEST_CASE(
-    "a repeat whose window has ended by the time the link is up gets no byte, and is no news of the worker") {
-  Bench bench("Ready");
+    "a repeat whose window has ended by the time of the connection is not sent, nor held against the "
+    "worker") {
+  ServerLinksFixture worker_side("Ready");
   for (const double not_after : {kNow - 1, kNow + 60'000}) {
-    bench.start("q", 60'000, not_after);
-    Peer link = bench.worker.accept();
+    worker_side.start("q", 60'000, not_after);
+    Peer link = worker_side.worker.accept();
     if (not_after > kNow) {
       CHECK(link.message().ends_with("pay"));
     } else {
-      CHECK(bench.ending() == Status::moot);
+      CHECK(worker_side.next_status() == Status::moot);
       CHECK(link.closed());
     }
   }
 }
 
-TEST_CASE("a probe over a link that is kept brings the worker's report, and the link serves on") {
-  Bench bench("Ready");
-  Peer link = bench.kept_link();
-  bench.servers.probe("w");
-  CHECK(starts(link.message(), "GET /stats HTTP/1.1"));
+TEST_CASE("a probe on a kept link returns the worker's report, and the link stays in use") {
+  ServerLinksFixture worker_side("Ready");
+  Peer link = worker_side.kept_link();
+  worker_side.servers.probe("w");
+  CHECK(starts_with(link.message(), "GET /stats HTTP/1.1"));
   link.write("HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\nx0=2,waiting=0");
-  const auto probed = std::get<core::ProbeEnded>(bench.next());
+  const auto probed = std::get<core::ProbeEnded>(worker_side.next_message());
   CHECK(probed.status == Status::ok);
   CHECK(probed.report == "x0=2,waiting=0");
-  bench.start("r");
+  worker_side.start("r");
   CHECK(link.message().ends_with("pay"));
 }
 
 TEST_CASE("a cancelled execution ends as cancelled and its link is closed") {
-  Bench bench("Ready");
-  bench.start("q");
-  Peer link = bench.worker.accept();
+  ServerLinksFixture worker_side("Ready");
+  worker_side.start("q");
+  Peer link = worker_side.worker.accept();
   link.message();
-  bench.servers.cancel({"q", 0});
-  CHECK(bench.ending() == Status::cancelled);
+  worker_side.servers.cancel({"q", 0});
+  CHECK(worker_side.next_status() == Status::cancelled);
   CHECK(link.closed());
 }
 
-TEST_CASE("with all server links busy a further execution is not sent") {
-  Bench bench("Ready", 1);
-  bench.start("q");
-  Peer link = bench.worker.accept();
+TEST_CASE("an execution is not sent while all server links are busy") {
+  ServerLinksFixture worker_side("Ready", 1);
+  worker_side.start("q");
+  Peer link = worker_side.worker.accept();
   link.message();
-  bench.start("r");
-  CHECK(bench.ending() == Status::moot);
+  worker_side.start("r");
+  CHECK(worker_side.next_status() == Status::moot);
   link.write(done("q", "ok"));
-  CHECK(std::holds_alternative<core::ExecutionStarted>(bench.next()));
-  CHECK(bench.ending() == Status::ok);
+  CHECK(std::holds_alternative<core::ExecutionStarted>(worker_side.next_message()));
+  CHECK(worker_side.next_status() == Status::ok);
 }
 
-// Guards what a safe query can still gain: one that waits for the rest of a line waits until its deadline.
+// Time for another attempt at a safe query: waiting for the rest of a line would take until its deadline.
 TEST_CASE(
-    "an answer that falls quiet in the midst of a line or a head is over, one between two lines is not") {
+    "a response that stalls within a line or head times out, one that pauses between two lines does not") {
   const std::string started = chunked({event("q", "started")});
   for (const std::string& part :
        {std::string("HTTP/1.1 200"), started + "2", started + "20\r\n{\"id\":\"q\""}) {
-    Bench bench("Ready");
-    bench.start("q");
-    Peer link = bench.worker.accept();
+    ServerLinksFixture worker_side("Ready");
+    worker_side.start("q");
+    Peer link = worker_side.worker.accept();
     link.message();
     link.write(part);
-    core::Message next = bench.next(100);
-    if (std::holds_alternative<core::ExecutionStarted>(next)) next = bench.next(100);
-    CHECK(std::get<core::ExecutionEnded>(next).status == Status::reset);
-    CHECK(bench.clock.now() < kNow + 10'000);
+    core::Message message = worker_side.next_message(100);
+    if (std::holds_alternative<core::ExecutionStarted>(message)) message = worker_side.next_message(100);
+    CHECK(std::get<core::ExecutionEnded>(message).status == Status::reset);
+    CHECK(worker_side.clock.now() < kNow + 10'000);
   }
-  Bench bench("Ready");
-  bench.start("q");
-  Peer link = bench.worker.accept();
+  ServerLinksFixture worker_side("Ready");
+  worker_side.start("q");
+  Peer link = worker_side.worker.accept();
   link.message();
   link.write(started);
-  CHECK(std::holds_alternative<core::ExecutionStarted>(bench.next()));
-  bench.clock.set(kNow + 5'000);
+  CHECK(std::holds_alternative<core::ExecutionStarted>(worker_side.next_message()));
+  worker_side.clock.set(kNow + 5'000);
   link.write(done("q", "ok").substr(started.find("\r\n\r\n") + 4));
-  CHECK(std::holds_alternative<core::ExecutionStarted>(bench.next()));
-  CHECK(bench.ending() == Status::ok);
+  CHECK(std::holds_alternative<core::ExecutionStarted>(worker_side.next_message()));
+  CHECK(worker_side.next_status() == Status::ok);
 }
 
-// Guards payouts: what breaks before its last byte never ran and can go elsewhere; and a kept link that was
-// stale says nothing of its worker.
-TEST_CASE("a link that breaks while a query comes has not run it, and is replaced once") {
-  Bench bench("Ready", 8, 10'000);
-  const auto begun = [&] { return bench.begun(); };
-  const auto go_on = [&](Peer& link, const std::string& id) {
-    Bench::speak(link);  // the last byte need not wait any longer
+// Payouts: a query whose link breaks before its last byte never ran and can go elsewhere; and a kept link
+// that was stale says nothing about its worker.
+TEST_CASE(
+    "a query on a link that breaks before its last byte has not run, and a stale kept link is replaced "
+    "once") {
+  ServerLinksFixture worker_side("Ready", 8, 10'000);
+  const auto accept_partial = [&] { return worker_side.accept_partial_query(); };
+  const auto complete_query = [&](Peer& link, const std::string& id) {
+    ServerLinksFixture::send_continue(link);  // the last byte is no longer held back
     CHECK(link.message().ends_with("\r\n\r\npay"));
     link.write(done(id, "ok"));
-    CHECK(std::holds_alternative<core::ExecutionStarted>(bench.next()));
-    CHECK(bench.ending() == Status::ok);
+    CHECK(std::holds_alternative<core::ExecutionStarted>(worker_side.next_message()));
+    CHECK(worker_side.next_status() == Status::ok);
   };
-  bench.start("q");
-  begun();
-  begun();
-  CHECK(bench.ending() == Status::connect_failed);
-  bench.start("r");
-  std::optional<Peer> kept = begun();
-  go_on(*kept, "r");
-  bench.start("s");
+  worker_side.start("q");
+  accept_partial();
+  accept_partial();
+  CHECK(worker_side.next_status() == Status::connect_failed);
+  worker_side.start("r");
+  std::optional<Peer> kept = accept_partial();
+  complete_query(*kept, "r");
+  worker_side.start("s");
   REQUIRE(kept->read_some());
   kept.reset();
-  Peer fresh = begun();
-  go_on(fresh, "s");
+  Peer new_link = accept_partial();
+  complete_query(new_link, "s");
 }
 
-// Guards payouts behind the back of a client that has gone: what waits for a thread or for its last byte
-// would run for nobody. What has begun goes on, and its link is kept.
-TEST_CASE("what nobody waits for any more gets no last byte, and that is no news of its worker") {
-  Bench bench("Ready", 8, 10'000);
-  bench.start("q");
-  Peer link = bench.begun();
-  bench.servers.withdraw({"other", 0});
-  bench.servers.withdraw({"q", 0});
-  CHECK(bench.ending() == Status::moot);
-  Bench::check_never_ran(link);
-  bench.start("r");
-  Peer begins = bench.begun();
-  Bench::speak(begins);
-  CHECK(begins.message().ends_with("pay"));
-  bench.servers.withdraw({"r", 0});
-  begins.write(done("r", "ok"));
-  CHECK(std::holds_alternative<core::ExecutionStarted>(bench.next()));
-  CHECK(bench.ending() == Status::ok);
-  bench.start("s");
-  CHECK(begins.read_some());
+// Payouts of a client that has disconnected: a query that waits for a thread or for its last byte would run
+// for nobody. One that has begun continues, and its link is kept.
+TEST_CASE("a withdrawn execution never gets its last byte, and that is not held against the worker") {
+  ServerLinksFixture worker_side("Ready", 8, 10'000);
+  worker_side.start("q");
+  Peer link = worker_side.accept_partial_query();
+  worker_side.servers.withdraw({"other", 0});
+  worker_side.servers.withdraw({"q", 0});
+  CHECK(worker_side.next_status() == Status::moot);
+  ServerLinksFixture::check_never_completed(link);
+  worker_side.start("r");
+  Peer running = worker_side.accept_partial_query();
+  ServerLinksFixture::send_continue(running);
+  CHECK(running.message().ends_with("pay"));
+  worker_side.servers.withdraw({"r", 0});
+  running.write(done("r", "ok"));
+  CHECK(std::holds_alternative<core::ExecutionStarted>(worker_side.next_message()));
+  CHECK(worker_side.next_status() == Status::ok);
+  worker_side.start("s");
+  CHECK(running.read_some());
 
   std::promise<void> gate;
   const std::shared_future<void> open = gate.get_future().share();
-  Bench waits("Ready", 8, 1, [&](const std::string& name, std::function<void()> body) {
+  ServerLinksFixture gated("Ready", 8, 1, [&](const std::string& name, std::function<void()> body) {
     return park::Thread(name, [open, body = std::move(body)] {
       open.wait();
       body();
     });
   });
-  waits.start("q");
-  waits.servers.withdraw({"q", 0});
+  gated.start("q");
+  gated.servers.withdraw({"q", 0});
   gate.set_value();
-  CHECK(waits.ending() == Status::moot);
-  pollfd comes{waits.worker.socket.fd(), POLLIN, 0};
-  CHECK(::poll(&comes, 1, 0) == 0);  // not even a connect
+  CHECK(gated.next_status() == Status::moot);
+  pollfd listener{gated.worker.socket.fd(), POLLIN, 0};
+  CHECK(::poll(&listener, 1, 0) == 0);  // not even a connection attempt
 }
 
-// Guards the same from end to end: the client's link, the loop, the link to the worker.
-TEST_CASE("a query whose client leaves before its last byte is out never runs") {
-  struct Alone : core::Kin {
+// The same from end to end: client link, decision loop, server link.
+TEST_CASE("a query whose client disconnects before its last byte is sent never runs") {
+  struct NoSibling : core::Kin {
     void tell(const core::Word&) override {}
     bool alone() const override { return true; }
-  } kin;
-  Bench bench("Ready", 8, 10'000);
-  Front front(8);
-  const core::Config config =
-      core::read_config(config_json({host_json("w", bench.worker.dial())}, bench.discovery.dial()));
-  core::DecisionLoop loop(config.settings, config.class_names, 1, bench.clock, bench.inbox, bench.servers,
-                          bench.hosts, kin);
+  } no_sibling;
+  ServerLinksFixture worker_side("Ready", 8, 10'000);
+  ClientLinksFixture client_side(8);
+  const core::Config config = core::read_config(
+      config_json({host_json("w", worker_side.worker.dial())}, worker_side.discovery.dial()));
+  core::DecisionLoop loop(config.settings, config.class_names, 1, worker_side.clock, worker_side.inbox,
+                          worker_side.servers, worker_side.endpoint_list, no_sibling);
   const auto pass_on = [&](core::Message message) {
-    bench.inbox.put(std::move(message));
+    worker_side.inbox.put(std::move(message));
     loop.step();
   };
   pass_on(core::ListTold{{ListKind::remembered, {{.worker = "w"}}, core::to_micros(kNow)}});
-  for (const bool half : {true, false}) {
-    CAPTURE(half);
-    const std::string id = half ? "half" : "whole";
-    std::optional<Peer> client = Peer::to(front.port);
+  for (const bool half_close : {true, false}) {
+    CAPTURE(half_close);
+    const std::string id = half_close ? "half" : "whole";
+    std::optional<Peer> client = Peer::to(client_side.port);
     client->write(query_text(id, "refund-payout"));
-    pass_on(front.next<core::QueryArrived>());
-    Peer link = bench.begun();
-    half ? client->socket.shut(SHUT_WR) : client.reset();
-    pass_on(front.next<core::ClientGone>());
-    Bench::check_never_ran(link);
-    const auto ended = std::get<core::ExecutionEnded>(bench.next());
+    pass_on(client_side.next_message<core::QueryArrived>());
+    Peer link = worker_side.accept_partial_query();
+    half_close ? client->socket.shut(SHUT_WR) : client.reset();
+    pass_on(client_side.next_message<core::ClientGone>());
+    ServerLinksFixture::check_never_completed(link);
+    const auto ended = std::get<core::ExecutionEnded>(worker_side.next_message());
     CHECK(ended.status == Status::moot);
     pass_on(ended);
   }
 }
 
-// Guards the window and the deadline in the moment that counts, that of the last byte: the settling took
-// them.
-TEST_CASE("an execution that may not begin any more when its last byte is due never begins") {
-  Bench bench("Ready", 8, 10'000);
-  for (const auto& [lasts, window] : {std::pair{20'000.0, core::Execution::kAlways}, {60'000.0, 20'000.0}}) {
-    bench.clock.set(kNow);
-    bench.start("q", lasts, window < core::Execution::kAlways ? kNow + window : window);
-    Peer link = bench.begun();
-    bench.clock.set(kNow + 20'001);
-    Bench::speak(link);
-    CHECK(bench.ending() == Status::moot);
-    Bench::check_never_ran(link);
+// Window and deadline are checked when it counts, at the last byte: the settling time may have used them up.
+TEST_CASE("an execution that may no longer begin when its last byte is due never begins") {
+  ServerLinksFixture worker_side("Ready", 8, 10'000);
+  for (const auto& [time_left_ms, window] :
+       {std::pair{20'000.0, core::Execution::kAlways}, {60'000.0, 20'000.0}}) {
+    worker_side.clock.set(kNow);
+    worker_side.start("q", time_left_ms, window < core::Execution::kAlways ? kNow + window : window);
+    Peer link = worker_side.accept_partial_query();
+    worker_side.clock.set(kNow + 20'001);
+    ServerLinksFixture::send_continue(link);
+    CHECK(worker_side.next_status() == Status::moot);
+    ServerLinksFixture::check_never_completed(link);
   }
 }
 
-// STANDING: an attempt tells its worker at most what is left to the client, with 0.15 s of slack. That counts
-// when it begins, with its last byte.
-TEST_CASE("an attempt that has told its worker more time than is left at its last byte never begins") {
-  constexpr double kLastsMs = 60'000, kPassedMs = 20'000;
-  Bench bench("Ready", 8, 10'000);
-  bench.start("q", kLastsMs);
-  Peer link = bench.begun();
-  bench.clock.set(kNow + kPassedMs);
-  Bench::speak(link);
-  CHECK(bench.ending() == Status::moot);
-  Bench::check_never_ran(link);
+// Protocol rule: an attempt tells its worker at most the time that is left to the client, with 0.15 s of
+// slack. That counts when the attempt begins, with its last byte.
+TEST_CASE("an attempt whose X-Budget exceeds the time left at its last byte never begins") {
+  constexpr double kTimeLeftMs = 60'000, kPassedMs = 20'000;
+  ServerLinksFixture worker_side("Ready", 8, 10'000);
+  worker_side.start("q", kTimeLeftMs);
+  Peer link = worker_side.accept_partial_query();
+  worker_side.clock.set(kNow + kPassedMs);
+  ServerLinksFixture::send_continue(link);
+  CHECK(worker_side.next_status() == Status::moot);
+  ServerLinksFixture::check_never_completed(link);
 }
 
-// Guards a payout on a kept link against a worker that answers the one before it twice, some ms late.
-TEST_CASE("what comes on a kept link before its query is whole is not taken for its answer") {
-  Bench bench("Ready", 8, 10'000);
-  bench.start("q");
-  Peer kept = bench.begun();
-  Bench::speak(kept);
+// A payout on a kept link whose worker answers the query before it twice, some ms late.
+TEST_CASE("bytes that arrive on a kept link before the query is complete are not taken for its answer") {
+  ServerLinksFixture worker_side("Ready", 8, 10'000);
+  worker_side.start("q");
+  Peer kept = worker_side.accept_partial_query();
+  ServerLinksFixture::send_continue(kept);
   CHECK(kept.message().ends_with("pay"));
   kept.write(done("q", "ok"));
-  CHECK(std::holds_alternative<core::ExecutionStarted>(bench.next()));
-  CHECK(bench.ending() == Status::ok);
-  bench.start("r");
+  CHECK(std::holds_alternative<core::ExecutionStarted>(worker_side.next_message()));
+  CHECK(worker_side.next_status() == Status::ok);
+  worker_side.start("r");
   REQUIRE(kept.read_some());
   kept.write(done("q", "ok"));
-  Peer fresh = bench.begun();
-  Bench::check_never_ran(kept);
-  Bench::speak(fresh);
-  CHECK(fresh.message().ends_with("pay"));
-  fresh.write(done("r", "ok"));
-  CHECK(std::holds_alternative<core::ExecutionStarted>(bench.next()));
-  CHECK(bench.ending() == Status::ok);
+  Peer new_link = worker_side.accept_partial_query();
+  ServerLinksFixture::check_never_completed(kept);
+  ServerLinksFixture::send_continue(new_link);
+  CHECK(new_link.message().ends_with("pay"));
+  new_link.write(done("r", "ok"));
+  CHECK(std::holds_alternative<core::ExecutionStarted>(worker_side.next_message()));
+  CHECK(worker_side.next_status() == Status::ok);
 }
 
-// Parked links -------------------------------------------------------------------------------------------
+// Idle links ---------------------------------------------------------------------------------------------
 
-// Guards payouts: what a worker says or does on a link that stands idle must not meet the next query there.
-TEST_CASE("an idle server link that the worker closes, or speaks on, is given up before it is asked for") {
-  Bench bench("Ready");
-  std::optional<Peer> closes = bench.kept_link();
+// Payouts: what a worker writes or does on an idle link must not affect the next query there.
+TEST_CASE("an idle server link that the worker closes, or writes to, is dropped before it is needed") {
+  ServerLinksFixture worker_side("Ready");
+  std::optional<Peer> closes = worker_side.kept_link();
   closes.reset();
-  // Noticed by itself: its place is free, though no execution came by.
+  // Detected without an execution: the link's place is free.
   const core::Clock real;
-  for (const double end = real.now() + 10'000; bench.park.guests() > 1;) REQUIRE(real.now() < end);
-  Peer speaks = bench.kept_link();
+  for (const double deadline = real.now() + 10'000; worker_side.event_loop.guests() > 1;)
+    REQUIRE(real.now() < deadline);
+  Peer speaks = worker_side.kept_link();
   speaks.write("HTTP/1.1 408 Idle\r\nContent-Length: 0\r\n\r\n");
   CHECK(speaks.closed());
-  bench.start("r");
-  CHECK(bench.worker.accept().message().ends_with("pay"));
+  worker_side.start("r");
+  CHECK(worker_side.worker.accept().message().ends_with("pay"));
 }
 
-// Load reports come with what ends an execution: in its last line, or in the head that turns it away.
-TEST_CASE("a worker's load report is told with the ending that it came with") {
-  Bench bench("Ready");
-  bench.start("q");
-  Peer link = bench.worker.accept();
+// Load reports arrive with the end of an execution: in its last line, or in the head of a rejection.
+TEST_CASE("a worker's load report is passed on with the end of the execution that carried it") {
+  ServerLinksFixture worker_side("Ready");
+  worker_side.start("q");
+  Peer link = worker_side.worker.accept();
   link.message();
   link.write(chunked({event("q", "done",
                             R"(,"load":{"x0":1.5,"active":3,"deep":{"x0":9},"word":"x"},"result":"ok")")}) +
              "0\r\n\r\n");
-  const auto ended = std::get<core::ExecutionEnded>(bench.next());
+  const auto ended = std::get<core::ExecutionEnded>(worker_side.next_message());
   CHECK(ended.result == "ok");
   CHECK(ended.report == "x0=1.5,active=3");
-  bench.start("r");
+  worker_side.start("r");
   link.message();
   link.write("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nX-Load-Report: x0=0,rps=9\r\nContent-Length: 0\r\n\r\n");
-  const auto full = std::get<core::ExecutionEnded>(bench.next());
+  const auto full = std::get<core::ExecutionEnded>(worker_side.next_message());
   CHECK(full.status == Status::full);
   CHECK(full.report == "x0=0,rps=9");
 }
 
-// Guards the client's time: the end of a body may lag behind its result.
-TEST_CASE("an answer whose tail is still to come is told at once, and its link serves on once it has come") {
-  Bench bench("Ready");
-  Peer link = bench.link_without_tail();
-  bench.start("r");  // meanwhile it is no link for another
-  Peer second = bench.worker.accept();
+// The client's time: the end of a body may arrive later than the result.
+TEST_CASE("a result is reported before the end of its body, and the link is reused once the body has ended") {
+  ServerLinksFixture worker_side("Ready");
+  Peer link = worker_side.link_with_unfinished_body();
+  worker_side.start("r");  // until then the link is not used by another execution
+  Peer second = worker_side.worker.accept();
   CHECK(second.message().ends_with("pay"));
   link.write("0\r\n\r\n");
   second.write(done("r", "ok"));
-  CHECK(std::holds_alternative<core::ExecutionStarted>(bench.next()));
-  CHECK(bench.ending() == Status::ok);
-  // Both are kept: of two at once neither needs a third link.
-  bench.start("s");
-  bench.start("t");
+  CHECK(std::holds_alternative<core::ExecutionStarted>(worker_side.next_message()));
+  CHECK(worker_side.next_status() == Status::ok);
+  // Both links are kept: two executions at the same time need no third link.
+  worker_side.start("s");
+  worker_side.start("t");
   CHECK(link.message().ends_with("pay"));
   CHECK(second.message().ends_with("pay"));
 }
 
-TEST_CASE("an answer whose tail does not come ends its link, and counts all the same") {
-  Bench bench("Ready");
-  Peer link = bench.link_without_tail();
-  bench.clock.set(kNow + 300);
+TEST_CASE("a response whose body does not end closes its link, but the result counts") {
+  ServerLinksFixture worker_side("Ready");
+  Peer link = worker_side.link_with_unfinished_body();
+  worker_side.clock.set(kNow + 300);
   CHECK(link.closed());
 }
 
-// Guards the one ending of each execution, in the moment when a link's idle time ends.
-TEST_CASE("a link that is taken as its idle time ends carries its execution, or another does") {
-  Bench bench("Ready");
-  Peer link = bench.kept_link();
+// Each execution must end exactly once, even when the idle time of its link ends at that moment.
+TEST_CASE("an execution on a link whose idle time ends at that moment runs on it or on another link") {
+  ServerLinksFixture worker_side("Ready");
+  Peer link = worker_side.kept_link();
   double now = kNow;
   for (int round = 0; round < 50; ++round) {
     const std::string id = "r" + std::to_string(round);
-    bench.clock.set(now += 60'000);
+    worker_side.clock.set(now += 60'000);
     if (round % 2 == 0) std::this_thread::yield();
-    bench.start(id);
-    // Over the kept link, or else it is closed and a fresh one has come.
+    worker_side.start(id);
+    // Over the kept link, or that one is closed and a new one is connected.
     link.come.clear();
-    if (!link.read_some()) link = bench.worker.accept();
+    if (!link.read_some()) link = worker_side.worker.accept();
     while (!link.come.ends_with("pay")) REQUIRE(link.read_some());
     link.come.clear();
     link.write(done(id, "ok"));
-    CHECK(std::holds_alternative<core::ExecutionStarted>(bench.next()));
-    CHECK(bench.ending() == Status::ok);
+    CHECK(std::holds_alternative<core::ExecutionStarted>(worker_side.next_message()));
+    CHECK(worker_side.next_status() == Status::ok);
   }
 }
 
-// Guards the rule on drains and an operator's word where the link is open already.
-TEST_CASE("a parked link gets no byte once its worker drains, or is out by hand") {
-  Bench bench("Ready");
-  Peer link = bench.kept_link();
-  bench.servers.exclude("w", true);
-  bench.start("r");
-  CHECK(bench.ending() == Status::moot);
+// The rules on drains and exclusions for links that are already open.
+TEST_CASE("an idle link gets no byte once its worker drains or is excluded") {
+  ServerLinksFixture worker_side("Ready");
+  Peer link = worker_side.kept_link();
+  worker_side.servers.exclude("w", true);
+  worker_side.start("r");
+  CHECK(worker_side.next_status() == Status::moot);
   CHECK(link.closed());
-  bench.servers.exclude("w", false);
-  Peer again = bench.kept_link();
-  bench.hosts.watch();
-  Peer watch = bench.discovery.accept();
+  worker_side.servers.exclude("w", false);
+  Peer again = worker_side.kept_link();
+  worker_side.endpoint_list.watch();
+  Peer watch = worker_side.discovery.accept();
   watch.message();
-  const nlohmann::json host = host_json("w", bench.worker.dial(), "Terminating");
+  const nlohmann::json host = host_json("w", worker_side.worker.dial(), "Terminating");
   watch.write(chunked({nlohmann::json{{"seq", 2}, {"whole", false}, {"hosts", {host}}}.dump()}));
-  CHECK(std::get<core::ListTold>(bench.next()).update.kind == ListKind::changes);
-  bench.start("s");
-  CHECK(bench.ending() == Status::moot);
+  CHECK(std::get<core::ListTold>(worker_side.next_message()).update.kind == ListKind::changes);
+  worker_side.start("s");
+  CHECK(worker_side.next_status() == Status::moot);
   CHECK(again.closed());
 }
 
-// Guards answers of any size to clients that read slowly: the rest goes out as there is room.
-TEST_CASE("an answer that its client does not take at once goes out whole, and the link serves on") {
-  Front front(8);
-  const Address address("127.0.0.1:" + std::to_string(front.port));
+// Responses of any size to clients that read slowly: the remainder is sent as the socket becomes writable.
+TEST_CASE("a response that its client reads slowly is sent completely, and the link stays in use") {
+  ClientLinksFixture client_side(8);
+  const Address address("127.0.0.1:" + std::to_string(client_side.port));
   Peer client(Socket::make(address));
-  const int small = 2'048;
-  ::setsockopt(client.socket.fd(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+  const int receive_buffer_bytes = 2'048;
+  ::setsockopt(client.socket.fd(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes, sizeof receive_buffer_bytes);
   REQUIRE(client.socket.connect(address, 5'000));
   client.write(query_text("q", "refund-payout"));
   const std::string body(8'000'000, 'r');
-  front.next<core::QueryArrived>().asker->answer({core::AnswerKind::served, body});
-  front.await(ConnectionState::busy, 1);
-  CHECK(front.links->count(ConnectionState::idle) == 0);  // it is still on its way
+  client_side.next_message<core::QueryArrived>().asker->answer({core::AnswerKind::served, body});
+  client_side.await_count(ConnectionState::busy, 1);
+  CHECK(client_side.links->count(ConnectionState::idle) == 0);  // it is still being sent
   CHECK(client.message().ends_with("\r\n\r\n" + body));
-  front.await(ConnectionState::idle, 1);
+  client_side.await_count(ConnectionState::idle, 1);
   client.write(query_text("r", "refund-payout"));
   std::optional<Peer> leaves(std::move(client));
-  front.next<core::QueryArrived>().asker->answer({core::AnswerKind::served, body});
-  leaves.reset();  // in the midst of it
-  front.await(ConnectionState::busy, 0);
-  CHECK(front.links->open() == 0);
+  client_side.next_message<core::QueryArrived>().asker->answer({core::AnswerKind::served, body});
+  leaves.reset();  // while the response is being sent
+  client_side.await_count(ConnectionState::busy, 0);
+  CHECK(client_side.links->open() == 0);
 }
 
-// Guards answers on their way against bytes that come in the moment of a close: closed over them, the link is
-// reset, and what the client has not read yet goes with it.
-TEST_CASE("an answer is read to its end whatever its client sends while the link is being closed") {
-  Front front(8);
-  const Address address("127.0.0.1:" + std::to_string(front.port));
+// Bytes that arrive at the moment of a close: closing a socket with unread bytes resets the connection, and
+// the part of the response that the client has not read is lost.
+TEST_CASE("a response arrives completely whatever its client sends while the link is being closed") {
+  ClientLinksFixture client_side(8);
+  const Address address("127.0.0.1:" + std::to_string(client_side.port));
   const std::string body(200'000, 'r');
-  // Ended by the answer itself, or as a link that stands idle, while most of the answer is on its way.
+  // Closed by the response itself, or as an idle link, while most of the response is in transit.
   for (const bool by_answer : {true, false}) {
     CAPTURE(by_answer);
     std::optional<Peer> client(Socket::make(address));
-    const int small = 2'048;
-    ::setsockopt(client->socket.fd(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+    const int receive_buffer_bytes = 2'048;
+    ::setsockopt(client->socket.fd(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes,
+                 sizeof receive_buffer_bytes);
     REQUIRE(client->socket.connect(address, 5'000));
     std::string query = query_text(by_answer ? "a" : "b", "refund-payout");
     if (by_answer) query.insert(query.find("X-Budget"), "Connection: close\r\n");
     client->write(query);
-    front.next<core::QueryArrived>().asker->answer({core::AnswerKind::served, body});
-    while (front.links->count(ConnectionState::busy) > 0) REQUIRE(client->read_some());
-    if (!by_answer) front.links->stop_accepting();
-    front.await(ConnectionState::lingering, 1);
+    client_side.next_message<core::QueryArrived>().asker->answer({core::AnswerKind::served, body});
+    while (client_side.links->count(ConnectionState::busy) > 0) REQUIRE(client->read_some());
+    if (!by_answer) client_side.links->stop_accepting();
+    client_side.await_count(ConnectionState::lingering, 1);
     client->write(query_text("c", "refund-payout"));
     CHECK(client->message().ends_with(body));
     CHECK(client->closed());
-    CHECK(front.links->open() == 1);
+    CHECK(client_side.links->open() == 1);
     client.reset();
-    front.await(ConnectionState::lingering, 0);
-    CHECK(front.links->open() == 0);
-    CHECK(front.inbox.take().empty());  // the last query was passed over, and its client is free to repeat it
+    client_side.await_count(ConnectionState::lingering, 0);
+    CHECK(client_side.links->open() == 0);
+    CHECK(client_side.inbox.take().empty());  // the last query was discarded, and its client may repeat it
   }
 }
 
-// Guards new clients and descriptors against those that do not close behind their answer.
-TEST_CASE("a link that is only to be closed gives way at the edge, and ends by itself after a bound") {
-  Front front(2);
-  Peer first = Peer::to(front.port), second = Peer::to(front.port);
-  for (Peer* one : {&first, &second}) {
-    one->write("GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
-    CHECK(one->message().ends_with("ready\n"));
+// New clients and descriptors must not suffer from clients that do not close after their response.
+TEST_CASE("a lingering link is evicted at the limit, and ends by itself after a bounded time") {
+  ClientLinksFixture client_side(2);
+  Peer first = Peer::to(client_side.port), second = Peer::to(client_side.port);
+  for (Peer* peer : {&first, &second}) {
+    peer->write("GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n");
+    CHECK(peer->message().ends_with("ready\n"));
   }
-  front.await(ConnectionState::lingering, 2);
-  Peer third = front.served();
-  CHECK(front.links->count(ConnectionState::lingering) == 1);
-  front.clock.set(kNow + 500);
-  front.await(ConnectionState::lingering, 0);
-  CHECK(front.links->count(ConnectionState::idle_no_query) == 1);
+  client_side.await_count(ConnectionState::lingering, 2);
+  Peer third = client_side.connect_and_check();
+  CHECK(client_side.links->count(ConnectionState::lingering) == 1);
+  client_side.clock.set(kNow + 500);
+  client_side.await_count(ConnectionState::lingering, 0);
+  CHECK(client_side.links->count(ConnectionState::idle_no_query) == 1);
 }
 
-// Guards all others against one that sends as fast as it is read: there is one thread for all of them.
-TEST_CASE("a link that floods is read a turn at a time, and told so when its time is over") {
+// A client that sends as fast as it is read must not starve the others: one thread serves all of them.
+TEST_CASE("a link that floods is read one turn at a time, and is rejected when its time is over") {
   core::Clock clock;
   BufferPool pool(4);
   int ends[2];
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
   Socket here{Fd(ends[0])}, there{Fd(ends[1])};
-  const int much = 1'000'000;
-  ::setsockopt(there.fd(), SOL_SOCKET, SO_SNDBUF, &much, sizeof much);
+  const int send_buffer_bytes = 1'000'000;
+  ::setsockopt(there.fd(), SOL_SOCKET, SO_SNDBUF, &send_buffer_bytes, sizeof send_buffer_bytes);
   const std::string lines = "HTTP/1.1 200 OK\r\n\r\n" + std::string(12 * kBufferBytes, '\n');
   REQUIRE(there.send_some({lines}) == lines.size());
-  Intake intake(here, clock, pool);
-  Io why = Io::done;
-  intake.use(intake.head(Intake::kNoWait, why).value());
-  LineReader reader(intake, {Framing::Kind::to_end, 0, true});
+  Intake input(here, clock, pool);
+  Io result = Io::done;
+  input.use(input.head(Intake::kNoWait, result).value());
+  LineReader reader(input, {Framing::Kind::to_end, 0, true});
   std::string line;
-  std::size_t read = 0;
-  while (reader.next(line, Intake::kNoWait) == LineReader::Got::line) read += 1;
-  CHECK(intake.starved());
-  CHECK(read < 9 * kBufferBytes);
-  CHECK(reader.next(line, Intake::kNoWait) == LineReader::Got::late);  // its turn is over, whoever asks again
+  std::size_t lines_read = 0;
+  while (reader.next(line, Intake::kNoWait) == LineReader::Got::line) lines_read += 1;
+  CHECK(input.starved());
+  CHECK(lines_read < 9 * kBufferBytes);
+  CHECK(reader.next(line, Intake::kNoWait) ==
+        LineReader::Got::late);  // the turn is over, even if called again
   CHECK_FALSE(reader.discard_all(Intake::kNoWait));
-  CHECK(intake.starved());
-  intake.begin_turn();
-  while (reader.next(line, Intake::kNoWait) == LineReader::Got::line) read += 1;
-  CHECK_FALSE(intake.starved());
-  CHECK(read == 12 * kBufferBytes);
-
-  Front front(16);
-  std::atomic<bool> over{false};
+  CHECK(input.starved());
+  input.begin_turn();
+  while (reader.next(line, Intake::kNoWait) == LineReader::Got::line) lines_read += 1;
+  CHECK_FALSE(input.starved());
+  CHECK(lines_read == 12 * kBufferBytes);
+
+  ClientLinksFixture client_side(16);
+  std::atomic<bool> stopping{false};
   std::vector<std::thread> flood;
-  std::atomic<int> told{0};
+  std::atomic<int> closed_floods{0};
   for (int i = 0; i < 6; ++i)
     flood.emplace_back([&] {
-      Peer peer = Peer::to(front.port);
+      Peer peer = Peer::to(client_side.port);
       peer.write("POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n");
       std::string trailers;
       while (trailers.size() < 200'000) trailers += "x: y\r\n";
-      while (!over && ::send(peer.socket.fd(), trailers.data(), trailers.size(), MSG_NOSIGNAL) > 0) {
+      while (!stopping && ::send(peer.socket.fd(), trailers.data(), trailers.size(), MSG_NOSIGNAL) > 0) {
       }
-      told += 1;
+      closed_floods += 1;
     });
-  front.await(ConnectionState::reading, 6);
-  for (int i = 0; i < 20; ++i) Front::ask(*std::make_unique<Peer>(Peer::to(front.port)));
-  front.clock.set(kNow + 10'000);
-  front.await(ConnectionState::reading, 0);
-  front.clock.set(kNow + 11'000);
-  front.await(ConnectionState::lingering, 0);
-  over = true;
-  for (std::thread& one : flood) one.join();
-  CHECK(told == 6);
+  client_side.await_count(ConnectionState::reading, 6);
+  for (int i = 0; i < 20; ++i)
+    ClientLinksFixture::check_health(*std::make_unique<Peer>(Peer::to(client_side.port)));
+  client_side.clock.set(kNow + 10'000);
+  client_side.await_count(ConnectionState::reading, 0);
+  client_side.clock.set(kNow + 11'000);
+  client_side.await_count(ConnectionState::lingering, 0);
+  stopping = true;
+  for (std::thread& thread : flood) thread.join();
+  CHECK(closed_floods == 6);
 }
 
-// Guards new clients at the edge: nobody looks for a place again by the clock.
-TEST_CASE("new links wait where all have a query at work, and the first that falls idle gives way") {
-  Front front(1);
-  Peer first = Peer::to(front.port), second = Peer::to(front.port);
+// New clients at the limit of links: no timer checks again for a free place.
+TEST_CASE("new connections wait while all links are busy, and the first link to become idle is evicted") {
+  ClientLinksFixture client_side(1);
+  Peer first = Peer::to(client_side.port), second = Peer::to(client_side.port);
   first.write(query_text("a", "refund-payout"));
-  auto asker = front.next<core::QueryArrived>().asker;
+  auto asker = client_side.next_message<core::QueryArrived>().asker;
   second.write("GET /health/live HTTP/1.1\r\n\r\n");
   std::exchange(asker, nullptr)->answer({core::AnswerKind::served, "one"});
   CHECK(first.message().ends_with("one"));
   CHECK(second.message().ends_with("ready\n"));
   CHECK(first.closed());
-  Peer third = Peer::to(front.port);
+  Peer third = Peer::to(client_side.port);
   third.write("GET /health/live HTTP/1.1\r\n\r\n");
   CHECK(third.message().ends_with("ready\n"));
 }
 
-// Guards a planned end, and a front that goes, against links that are being accepted and read meanwhile.
-TEST_CASE("all links end at once, whatever comes in at that moment") {
+// A planned end, and the destruction of a frontend, while links are being accepted and read.
+TEST_CASE("destroying the client links closes all of them at once, whatever arrives at that moment") {
   for (int round = 0; round < 40; ++round) {
-    std::optional<Front> front(std::in_place, 16);
+    std::optional<ClientLinksFixture> client_side(std::in_place, 16);
     std::vector<Peer> peers;
     for (int i = 0; i < 12; ++i) {
-      peers.push_back(Peer::to(front->port));
+      peers.push_back(Peer::to(client_side->port));
       peers.back().write("GET /health/live HTTP/1.1\r\n\r\n" + query_text("q" + std::to_string(i), "x"));
     }
-    front->links.reset();
-    CHECK(front->park.guests() == 0);
+    client_side->links.reset();
+    CHECK(client_side->event_loop.guests() == 0);
     for (Peer& peer : peers) peer.socket.shut();
   }
 }
 
-// Guards clients that send their next query before they have read the last answer.
-TEST_CASE("a query that comes behind one at work is taken once that is answered") {
-  Front front(8);
-  Peer client = Peer::to(front.port);
+// Clients that send their next query before they have read the last response.
+TEST_CASE("a query behind one being processed is taken once that one is answered") {
+  ClientLinksFixture client_side(8);
+  Peer client = Peer::to(client_side.port);
   client.write(query_text("a", "refund-payout"));
-  const auto first = front.next<core::QueryArrived>();
+  const auto first = client_side.next_message<core::QueryArrived>();
   client.write(query_text("b", "refund-payout") + "GET /health/live HTTP/1.1\r\n\r\n");
   first.asker->answer({core::AnswerKind::served, "one"});
   CHECK(client.message().ends_with("one"));
-  const auto second = front.next<core::QueryArrived>();
+  const auto second = client_side.next_message<core::QueryArrived>();
   CHECK(second.query.id == "b");
   second.asker->answer({core::AnswerKind::served, "two"});
   CHECK(client.message().ends_with("two"));
   CHECK(client.message().ends_with("ready\n"));
 }
 
-// Guards: a failed watch must reach the module, or drains go unheard. One that falls silent is opened anew
-// without it: tests/lists_test.cpp.
-TEST_CASE("a watch that cannot be read, is refused or ends has failed") {
+// A failed watch must be reported to the module, or drains go unnoticed. A watch that falls silent is
+// reopened without the module: tests/lists_test.cpp.
+TEST_CASE("a watch that is malformed, refused or ended is reported as failed") {
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   const std::string fine = chunked({R"({"seq":2,"whole":false,"hosts":[]})", ""});
   struct Case {
     std::string answer;
-    bool open, stays;
+    bool opens, stays_open;
   };
   const Case cases[] = {{chunked({"}"}), false, true},
                         {chunked({"nonsense"}), false, true},
@@ -1129,48 +1155,51 @@
                         {"", false, false},
                         {fine, true, false},
                         {fine + "0\r\n\r\n", true, true}};
-  for (const Case& one : cases) {
-    Bench bench("Ready");
-    bench.hosts.watch();
-    std::optional<Peer> link = bench.discovery.accept();
-    CHECK(starts(link->message(), "GET /registry/instances?follow=1&since=1 HTTP/1.1\r\n"));
-    if (!one.answer.empty()) link->write(one.answer);
-    if (one.open) CHECK(std::get<core::ListTold>(bench.next()).update.kind == ListKind::changes);
-    if (!one.stays) link.reset();
-    CHECK(std::get<core::ListTold>(bench.next(Bench::kSilence)).update.kind == ListKind::failed);
-    // Asked again, it goes on from the newest list it had.
-    bench.hosts.watch();
-    CHECK(has(bench.discovery.accept().message(), one.open ? "since=2 " : "since=1 "));
+  for (const Case& test_case : cases) {
+    ServerLinksFixture worker_side("Ready");
+    worker_side.endpoint_list.watch();
+    std::optional<Peer> link = worker_side.discovery.accept();
+    CHECK(starts_with(link->message(), "GET /registry/instances?follow=1&since=1 HTTP/1.1\r\n"));
+    if (!test_case.answer.empty()) link->write(test_case.answer);
+    if (test_case.opens)
+      CHECK(std::get<core::ListTold>(worker_side.next_message()).update.kind == ListKind::changes);
+    if (!test_case.stays_open) link.reset();
+    CHECK(std::get<core::ListTold>(worker_side.next_message(ServerLinksFixture::kSilenceMs)).update.kind ==
+          ListKind::failed);
+    // A new watch continues from the newest list.
+    worker_side.endpoint_list.watch();
+    CHECK(contains(worker_side.discovery.accept().message(), test_case.opens ? "since=2 " : "since=1 "));
   }
 }
 
-// Guards: through the module's backoff, or after a failure told, drains would go unheard for seconds.
-TEST_CASE("at a new address of discovery the watch is open at once, and no failure is told") {
-  Bench bench("Ready");
-  bench.hosts.watch();
-  Peer old = bench.discovery.accept();
+// During the module's backoff, or after a reported failure, drains would go unnoticed for seconds.
+TEST_CASE("at a new address of service discovery the watch is opened at once, and no failure is reported") {
+  ServerLinksFixture worker_side("Ready");
+  worker_side.endpoint_list.watch();
+  Peer old = worker_side.discovery.accept();
   old.message();
   Port second, third;
-  bench.hosts.move(second.dial());
+  worker_side.endpoint_list.move(second.dial());
   CHECK(old.closed());
   Peer link = second.accept();
-  CHECK(has(link.message(), "since=1 "));
-  CHECK(std::get<core::ListTold>(bench.next()).update.kind == ListKind::interrupted);
-  CHECK_THROWS_AS(bench.hosts.move("nowhere"), std::invalid_argument);
-  bench.hosts.move(second.dial());  // nothing new: the watch stays
+  CHECK(contains(link.message(), "since=1 "));
+  CHECK(std::get<core::ListTold>(worker_side.next_message()).update.kind == ListKind::interrupted);
+  CHECK_THROWS_AS(worker_side.endpoint_list.move("nowhere"), std::invalid_argument);
+  worker_side.endpoint_list.move(second.dial());  // the same address: the watch stays open
   link.write(chunked({R"({"seq":2,"whole":false,"hosts":[]})"}));
-  CHECK(std::get<core::ListTold>(bench.next()).update.kind == ListKind::changes);
-  // Also where the last watch has failed and the module is still waiting.
+  CHECK(std::get<core::ListTold>(worker_side.next_message()).update.kind == ListKind::changes);
+  // Also if the last watch has failed and the module is still backing off.
   link.socket.shut();
-  CHECK(std::get<core::ListTold>(bench.next()).update.kind == ListKind::failed);
-  bench.hosts.move(third.dial());
-  CHECK(has(third.accept().message(), "since=2 "));
-  CHECK(std::get<core::ListTold>(bench.next()).update.kind == ListKind::interrupted);
+  CHECK(std::get<core::ListTold>(worker_side.next_message()).update.kind == ListKind::failed);
+  worker_side.endpoint_list.move(third.dial());
+  CHECK(contains(third.accept().message(), "since=2 "));
+  CHECK(std::get<core::ListTold>(worker_side.next_message()).update.kind == ListKind::interrupted);
 }
 
-// Guards what SIGTERM must not lose: queries at work, links that still come, and what clients send on the
-// links that they have while the time for it lasts.
-TEST_CASE("at a planned end all that is taken is answered, and open links serve on for as long as they can") {
+// SIGTERM must not lose queries that are being processed, links that are still connecting, and what clients
+// send on their open links while there is time.
+TEST_CASE(
+    "at a planned end every accepted query is answered, and open links are served as long as possible") {
   Port worker, discovery;
   core::Clock clock;
   clock.set(kNow);
@@ -1187,7 +1216,7 @@
   });
   const std::string ask = "GET /health/ready HTTP/1.1\r\n\r\n";
   do idle.write(ask);
-  while (starts(idle.message(), "HTTP/1.1 200 "));
+  while (starts_with(idle.message(), "HTTP/1.1 200 "));
   clock.set(kNow + 2'500);
   Peer late = Peer::to(node.port());
   std::optional<Peer> second;
@@ -1198,7 +1227,7 @@
     second->write(done(id, "two"));
     const std::string answer = late.message();
     CHECK(answer.ends_with("\r\n\r\ntwo"));
-    CHECK_FALSE(has(answer, "Connection: close"));
+    CHECK_FALSE(contains(answer, "Connection: close"));
   }
   clock.set(kNow + 2'600);
   CHECK(idle.closed());
@@ -1210,9 +1239,10 @@
   end.join();
 }
 
-// Guards clients of a deployment whose deadlines are all short: told the same for longer than they last, each
-// of their queries would be refused from SIGTERM on.
-TEST_CASE("at a planned end what can still be answered in time is taken, however short the deadlines") {
+// Deployments whose deadlines are all short: if not-ready were announced for longer than the deadlines last,
+// every query would be refused from SIGTERM on.
+TEST_CASE(
+    "at a planned end queries that can still be answered in time are accepted, however short the deadlines") {
   Port worker, discovery;
   core::Clock clock;
   clock.set(kNow);
@@ -1228,7 +1258,7 @@
   Peer client = Peer::to(node.port());
   const std::string ask = "GET /health/ready HTTP/1.1\r\n\r\n";
   do client.write(ask);
-  while (starts(client.message(), "HTTP/1.1 200 "));
+  while (starts_with(client.message(), "HTTP/1.1 200 "));
   clock.set(kNow + 290);
   std::string query = query_text("a1", "refund-payout");
   client.write(query.replace(query.find("5000m"), 5, "300m"));
