--- a/src/net/client_link.hpp
+++ b/src/net/client_link.hpp
@@ -64,7 +64,7 @@
 enum class ConnectionState {
   fresh,          // no byte of its first message has arrived
   reading,        // a part of its first message has arrived
-  idle_no_query,  // idle, and none of the messages it was answered was a query
+  idle_no_query,  // idle, and has carried no query yet, only messages such as health checks
   idle,           // between two messages, after at least one query
   busy,           // its next message is arriving, or one is being processed
   lingering       // our side is shut down; waiting for the client to close
--- a/src/net/client_links.cpp
+++ b/src/net/client_links.cpp
@@ -251,12 +251,12 @@
 }
 
 // AcceptResult::accepted: there is room for one more link. all_busy: every link has a query being processed
-// or arriving, and new connections wait. At the limit links are evicted in this order: links that were
-// answered but never carried a query (health checks that stayed), then links that are silent and never
-// completed a message. Clients that connect by the hundred and send nothing, or half a head, must not
-// displace links that are being served, nor those whose query is arriving. After them come links that only
-// wait for their client to close, then answered links without a query whatever their age, links that served
-// queries, longest idle first, and at last silent links whatever their age.
+// or arriving, and new connections wait. At the limit links are evicted in this order: of those without
+// activity for kMinSilenceToEvictMs, first the ones that were answered but never carried a query (health
+// checks that stayed), then the silent ones that never completed a message. Clients that connect by the
+// hundred and send nothing, or half a head, must not displace links that are being served, nor those whose
+// query is arriving. Then come links that only wait for their client to close, the more recent links without
+// a query, links that served queries, longest idle first, and at last the more recent silent ones.
 ClientLinks::AcceptResult ClientLinks::make_room() {
   const std::lock_guard lock(*mutex_);
   if (open_links() < max_links_) return AcceptResult::accepted;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -633,9 +633,7 @@
 }
 
 // A deduplicated class: the window in which a repeat is recognised can end while a connect is in progress.
-TEST_CASE(
-    "a repeat whose window has ended by the time of the connection is not sent, nor held against the "
-    "worker") {
+TEST_CASE("a repeat whose window ends before the connect is not sent, nor held against the worker") {
   ServerLinksFixture worker_side("Ready");
   for (const double not_after : {kNow - 1, kNow + 60'000}) {
     worker_side.start("q", 60'000, not_after);
@@ -714,9 +712,7 @@
 
 // Payouts: a query whose link breaks before its last byte never ran and can go elsewhere; and a kept link
 // that was stale says nothing about its worker.
-TEST_CASE(
-    "a query on a link that breaks before its last byte has not run, and a stale kept link is replaced "
-    "once") {
+TEST_CASE("a query whose link breaks before its last byte has not run, and its link is replaced once") {
   ServerLinksFixture worker_side("Ready", 8, 10'000);
   const auto accept_partial = [&] { return worker_side.accept_partial_query(); };
   const auto complete_query = [&](Peer& link, const std::string& id) {
