--- a/src/front/jobs/front.cpp
+++ b/src/front/jobs/front.cpp
@@ -15,30 +15,30 @@
 
 namespace {
 
-constexpr double kFirstMs = 5'000;     // for a call to come whole, as long as its bytes go on coming
-constexpr double kNoThreadMs = 1'000;  // when to come back where there is none
-constexpr double kMostWaitMs = 60'000;
-constexpr std::size_t kMostKey = 64, kMostPath = 512;
-
-// `name` in "name=value&name=value"; as it stands, nothing is decoded.
-std::string parameter(std::string_view all, std::string_view name) {
-  while (!all.empty()) {
-    const std::string_view one = all.substr(0, all.find('&'));
-    all.remove_prefix(std::min(all.size(), one.size() + 1));
-    if (one.starts_with(name) && one.substr(name.size()).starts_with('='))
-      return std::string(one.substr(name.size() + 1));
+constexpr double kReadTimeoutMs = 5'000;    // for a whole request, as long as bytes keep arriving
+constexpr double kNoThreadRetryMs = 1'000;  // Retry-After if no thread is free
+constexpr double kMaxWaitMs = 60'000;
+constexpr std::size_t kMaxKeyBytes = 64, kMaxPathBytes = 512;
+
+// The value of `name` in "name=value&name=value", without percent-decoding; empty if it is absent.
+std::string find_parameter(std::string_view parameters, std::string_view name) {
+  while (!parameters.empty()) {
+    const std::string_view parameter = parameters.substr(0, parameters.find('&'));
+    parameters.remove_prefix(std::min(parameters.size(), parameter.size() + 1));
+    if (parameter.starts_with(name) && parameter.substr(name.size()).starts_with('='))
+      return std::string(parameter.substr(name.size() + 1));
   }
   return {};
 }
 
 bool is_key(std::string_view text) {
-  return !text.empty() && text.size() <= kMostKey && net::is_token(text) &&
+  return !text.empty() && text.size() <= kMaxKeyBytes && net::is_token(text) &&
          text.find_first_of("!#$%&'*+^`|") == std::string_view::npos;
 }
 
-Reply bad(int status, const char* what) { return {status, {}, std::string(what) + '\n', 0}; }
+Reply error_reply(int status, const char* message) { return {status, {}, std::string(message) + '\n', 0}; }
 
-void write(net::ClientLink& link, const Reply& reply, bool closes) {
+void send_reply(net::ClientLink& link, const Reply& reply, bool closes_link) {
   std::string fields;
   if (!reply.state.empty()) fields += "X-Job-State: " + reply.state + "\r\n";
   if (reply.status == 503 && reply.retry_after_ms > 0) {
@@ -46,112 +46,122 @@
     std::snprintf(retry.data(), retry.size(), "Retry-After: %.3f\r\n", reply.retry_after_ms / 1000);
     fields += retry.data();
   }
-  link.reply(reply.status, fields, reply.body, closes, true);
+  link.reply(reply.status, fields, reply.body, closes_link, true);
 }
 
-// A client that goes leaves its job as it is: it is asked for again by its key.
-class Waits : public net::Errand {
+// A client that disconnects does not affect its job: the result can be requested again by key.
+class PendingJobCall : public net::Errand {
  public:
   void gone() override {}
 };
 
 }  // namespace
 
-Front::Front(net::Socket listener, std::size_t links, bool operators, woadtide::jobs::Keeper& keeper,
-             core::Clock& clock, park::Park& park, park::Crew& crew)
-    : operators_(operators),
-      keeper_(keeper),
+JobsFrontend::JobsFrontend(net::Socket listener, std::size_t max_links, bool serves_operators,
+                           woadtide::jobs::DurableJobService& job_service, core::Clock& clock,
+                           park::Park& event_loop, park::Crew& thread_pool)
+    : serves_operators_(serves_operators),
+      job_service_(job_service),
       clock_(clock),
-      crew_(crew),
-      pool_(links),
-      side_{.clock = clock, .pool = pool_, .park = park, .front = *this, .first_ms = kFirstMs},
-      links_(std::move(listener), links, side_) {
-  links_.start();
+      thread_pool_(thread_pool),
+      buffer_pool_(max_links),
+      link_context_{.clock = clock,
+                    .pool = buffer_pool_,
+                    .park = event_loop,
+                    .front = *this,
+                    .first_ms = kReadTimeoutMs},
+      client_links_(std::move(listener), max_links, link_context_) {
+  client_links_.start();
 }
 
-Front::~Front() {
-  links_.stop();
+JobsFrontend::~JobsFrontend() {
+  client_links_.stop();
   std::unique_lock lock(mutex_);
-  answered_.wait(lock, [this] { return at_work_ == 0; });
+  call_finished_.wait(lock, [this] { return calls_in_progress_ == 0; });
 }
 
-std::shared_ptr<net::Errand> Front::take(const std::shared_ptr<net::ClientLink>& link, net::Message message) {
-  const auto call = std::make_shared<Call>(read(message));
+std::shared_ptr<net::Errand> JobsFrontend::take(const std::shared_ptr<net::ClientLink>& link,
+                                                net::Message message) {
+  const auto call = std::make_shared<Call>(parse_call(message));
   if (call->path == "/health/ready" && call->method == "GET") {
-    write(*link, keeper_.takes() ? Reply{200, {}, "ready\n", 0} : bad(503, "not ready"), call->closes);
+    send_reply(*link,
+               job_service_.accepts_jobs() ? Reply{200, {}, "ready\n", 0} : error_reply(503, "not ready"),
+               call->closes_link);
     return nullptr;
   }
-  const auto job = [this, at = link, call]() mutable {
-    write(*at, answer(*call), call->closes);
-    at.reset();  // it holds buffers of ours
+  const auto run_call = [this, client_link = link, call]() mutable {
+    send_reply(*client_link, handle_call(*call), call->closes_link);
+    client_link.reset();  // it holds buffers of buffer_pool_
     const std::lock_guard lock(mutex_);
-    at_work_ -= 1;
-    answered_.notify_all();
+    calls_in_progress_ -= 1;
+    call_finished_.notify_all();
   };
   {
     const std::lock_guard lock(mutex_);
-    at_work_ += 1;
+    calls_in_progress_ += 1;
   }
-  if (crew_.take(job)) return std::make_shared<Waits>();
+  if (thread_pool_.take(run_call)) return std::make_shared<PendingJobCall>();
   {
     const std::lock_guard lock(mutex_);
-    at_work_ -= 1;
+    calls_in_progress_ -= 1;
   }
-  write(*link, {503, {}, "there is no thread for it now\n", kNoThreadMs}, call->closes);
+  send_reply(*link, {503, {}, "no thread is available right now\n", kNoThreadRetryMs}, call->closes_link);
   return nullptr;
 }
 
-Front::Call Front::read(const net::Message& message) const {
+JobsFrontend::Call JobsFrontend::parse_call(const net::Message& message) const {
   const net::Head& head = message.head;
   Call call;
-  call.closes = message.closes;
+  call.closes_link = message.closes;
   call.method = head.method;
   call.path = head.target.substr(0, head.target.find('?'));
   if (call.path.size() < head.target.size()) call.parameters = head.target.substr(call.path.size() + 1);
-  if (head.target.size() > kMostPath) throw BadMessage(400, "the path is too long");
+  if (head.target.size() > kMaxPathBytes) throw BadMessage(400, "the path is too long");
   if (call.method == "PUT") {
-    net::read_figures(head, call.order.query, message.received);
-    // Our own ids and lease stand where these would.
+    net::read_figures(head, call.job_request.query, message.received);
+    // The job service sets X-Call-Id and X-Job-* itself, so those of the client are dropped.
     for (const net::Field& field : head.fields)
       if (net::is_passed_on(field.name) && !head.connection_names(field.name) &&
           !net::same_name(field.name, "X-Call-Id") && !net::same_name(field.name.substr(0, 6), "X-Job-"))
-        call.order.fields.append(field.name).append(": ").append(field.value).append("\r\n");
+        call.job_request.header_fields.append(field.name).append(": ").append(field.value).append("\r\n");
   }
   for (const std::string_view piece : message.body) call.body += piece;
   return call;
 }
 
-Reply Front::answer(Call& call) {
-  if (call.path == "/jobs" && call.method == "GET" && operators_)
-    return keeper_.list(parameter(call.parameters, "state"));
-  constexpr std::string_view kJobs = "/jobs/";
-  if (!std::string_view(call.path).starts_with(kJobs)) return bad(404, "no such resource");
-  const std::string name = call.path.substr(kJobs.size());
+Reply JobsFrontend::handle_call(Call& call) {
+  if (call.path == "/jobs" && call.method == "GET" && serves_operators_)
+    return job_service_.list_jobs(find_parameter(call.parameters, "state"));
+  constexpr std::string_view kJobsPrefix = "/jobs/";
+  if (!std::string_view(call.path).starts_with(kJobsPrefix)) return error_reply(404, "no such resource");
+  const std::string name = call.path.substr(kJobsPrefix.size());
   const std::string key = name.substr(0, name.find('/'));
-  if (!is_key(key)) return bad(400, "a key is 1 to 64 letters, digits and -._~");
+  if (!is_key(key)) return error_reply(400, "a key must be 1 to 64 letters, digits and -._~");
   if (key.size() < name.size())
-    return operators_ ? answer_operator(call, key, name.substr(key.size())) : bad(404, "no such resource");
+    return serves_operators_ ? handle_operator_call(call, key, name.substr(key.size()))
+                             : error_reply(404, "no such resource");
   if (call.method == "GET") {
-    const std::string wait = parameter(call.parameters, "wait");
-    const auto ms = net::whole_number(wait.empty() ? "0" : wait);
-    if (!ms) return bad(400, "wait is a number of milliseconds");
-    return keeper_.get(key, std::min(static_cast<double>(*ms), kMostWaitMs));
+    const std::string wait = find_parameter(call.parameters, "wait");
+    const auto wait_ms = net::whole_number(wait.empty() ? "0" : wait);
+    if (!wait_ms) return error_reply(400, "wait must be a number of milliseconds");
+    return job_service_.get(key, std::min(static_cast<double>(*wait_ms), kMaxWaitMs));
   }
-  if (call.method == "DELETE") return keeper_.withdraw(key);
-  if (call.method != "PUT") return bad(405, "PUT, GET or DELETE");
-  call.order.key = key;
-  call.order.target = call.path + (call.parameters.empty() ? "" : '?' + call.parameters);
-  call.order.body = std::move(call.body);
-  return keeper_.put(std::move(call.order));
+  if (call.method == "DELETE") return job_service_.withdraw_job(key);
+  if (call.method != "PUT") return error_reply(405, "the method must be PUT, GET or DELETE");
+  call.job_request.key = key;
+  call.job_request.target = call.path + (call.parameters.empty() ? "" : '?' + call.parameters);
+  call.job_request.body = std::move(call.body);
+  return job_service_.submit(std::move(call.job_request));
 }
 
-Reply Front::answer_operator(const Call& call, const std::string& key, const std::string& rest) {
-  if (rest == "/record" && call.method == "GET") return keeper_.show(key);
-  if (rest != "/settle" || call.method != "POST") return bad(404, "no such resource");
-  const std::string as = parameter(call.parameters, "as"), who = parameter(call.parameters, "who");
+Reply JobsFrontend::handle_operator_call(const Call& call, const std::string& key,
+                                         const std::string& subresource) {
+  if (subresource == "/record" && call.method == "GET") return job_service_.get_record(key);
+  if (subresource != "/settle" || call.method != "POST") return error_reply(404, "no such resource");
+  const std::string as = find_parameter(call.parameters, "as"), who = find_parameter(call.parameters, "who");
   if ((as != "finished" && as != "failed") || who.empty() || call.body.empty())
-    return bad(400, "settle wants as=finished or as=failed, who=NAME, and why as its body");
-  return keeper_.settle(key, as == "finished", who, call.body);
+    return error_reply(400, "settle needs as=finished or as=failed, who=NAME, and the reason as its body");
+  return job_service_.settle(key, as == "finished", who, call.body);
 }
 
 }  // namespace woadtide::front::jobs
--- a/src/front/jobs/front.hpp
+++ b/src/front/jobs/front.hpp
@@ -1,13 +1,14 @@
-// Durable jobs over HTTP/1.1, at a listener of its own; docs/jobs.md is its page. It turns bytes into calls
-// to the Keeper and back, and must not know workers, discovery or other fronts.
+// Frontend of the durable jobs: HTTP/1.1 at a listener of its own, specified in docs/jobs.md. It translates
+// requests into calls of the job service and replies back, and must not know workers, discovery or other
+// frontends.
 //
-//   PUT /jobs/KEY          takes a job: 202, or its end if that is known; the same again is the same job
-//   GET /jobs/KEY?wait=MS  its end, or 202 after MS at the longest
-//   DELETE /jobs/KEY       withdraws one that has not begun
-//   GET /health/ready      200 while jobs are taken
+//   PUT /jobs/KEY          submits a job: 202, or its result if that is known; repeating it is the same job
+//   GET /jobs/KEY?wait=MS  the result, or 202 after at most MS milliseconds
+//   DELETE /jobs/KEY       withdraws a job that has not started
+//   GET /health/ready      200 while jobs are accepted
 // and at the operators' listener only:
-//   GET /jobs?state=S, GET /jobs/KEY/record, POST /jobs/KEY/settle?as=finished|failed&who=W (the body says
-//   why)
+//   GET /jobs?state=S, GET /jobs/KEY/record, POST /jobs/KEY/settle?as=finished|failed&who=W (the body is the
+//   reason)
 #pragma once
 
 #include <condition_variable>
@@ -23,40 +24,45 @@
 
 namespace woadtide::front::jobs {
 
-// Links stand in the park; a call that the Keeper has to answer holds a thread of the crew until it has.
-class Front : private net::Front {
+// Client links are served by the event loop; a call to the job service blocks a thread of the pool until it
+// is answered.
+class JobsFrontend : private net::Front {
  public:
-  // At most `links` at once. `operators`: whether the operators' calls are answered here.
-  Front(net::Socket listener, std::size_t links, bool operators, woadtide::jobs::Keeper& keeper,
-        core::Clock& clock, park::Park& park, park::Crew& crew);
-  // Waits for the calls that the Keeper still has.
-  ~Front() override;
+  // Serves at most `max_links` client links at once. `serves_operators`: whether operators' calls are
+  // answered here.
+  JobsFrontend(net::Socket listener, std::size_t max_links, bool serves_operators,
+               woadtide::jobs::DurableJobService& job_service, core::Clock& clock, park::Park& event_loop,
+               park::Crew& thread_pool);
+  // Stops listening and waits for the calls that are still in progress.
+  ~JobsFrontend() override;
 
-  int port() const { return links_.port(); }
+  // The port of the listener.
+  int port() const { return client_links_.port(); }
 
  private:
   struct Call {
     std::string method, path, parameters;
     std::string body;
-    woadtide::jobs::Order order;  // its query and fields, where they were read
-    bool closes = false;
+    woadtide::jobs::JobRequest job_request;  // of a PUT: query and header fields as received
+    bool closes_link = false;
   };
   std::shared_ptr<net::Errand> take(const std::shared_ptr<net::ClientLink>& link,
                                     net::Message message) override;
-  Call read(const net::Message& message) const;
-  woadtide::jobs::Reply answer(Call& call);
-  woadtide::jobs::Reply answer_operator(const Call& call, const std::string& key, const std::string& rest);
+  Call parse_call(const net::Message& message) const;
+  woadtide::jobs::Reply handle_call(Call& call);
+  woadtide::jobs::Reply handle_operator_call(const Call& call, const std::string& key,
+                                             const std::string& subresource);
 
-  const bool operators_;
-  woadtide::jobs::Keeper& keeper_;
+  const bool serves_operators_;
+  woadtide::jobs::DurableJobService& job_service_;
   core::Clock& clock_;
-  park::Crew& crew_;
-  net::BufferPool pool_;
-  net::ClientSide side_;
+  park::Crew& thread_pool_;
+  net::BufferPool buffer_pool_;
+  net::ClientSide link_context_;
   std::mutex mutex_;
-  std::condition_variable answered_;
-  std::size_t at_work_ = 0;  // calls that the crew has
-  net::ClientLinks links_;   // last: it uses all the others
+  std::condition_variable call_finished_;
+  std::size_t calls_in_progress_ = 0;  // submitted to the thread pool
+  net::ClientLinks client_links_;      // last, since it uses all other members
 };
 
 }  // namespace woadtide::front::jobs
--- a/src/jobs/installation.cpp
+++ b/src/jobs/installation.cpp
@@ -10,26 +10,28 @@
 
 namespace {
 
-constexpr double kAskMs = 250;
-constexpr int kWatchMs = 5;
-// The store's files and its folder, two listeners with their wake-ups, and operators' links.
-constexpr std::size_t kFiles = 8, kOperatorLinks = 4, kListeners = 4;
-
-Settings settings_of(const config::JobsPart& part, const std::function<void(Settings&)>& tweak) {
+constexpr double kInquiryTimeoutMs = 250;
+constexpr int kStoreCheckIntervalMs = 5;  // between checks whether the listeners can be opened
+// Descriptors of the store's files and its folder, of two listeners with their wake-ups, and of operators'
+// links.
+constexpr std::size_t kStoreDescriptors = 8, kMaxOperatorLinks = 4, kListenerDescriptors = 4;
+
+Settings make_settings(const config::JobsPart& config,
+                       const std::function<void(Settings&)>& adjust_settings) {
   Settings settings;
-  settings.store.folder = part.folder;
-  settings.store.most_bytes = static_cast<std::uint64_t>(part.most_mb) * 1'000'000;
-  settings.lease.lease_ms = static_cast<double>(part.lease_ms);
-  settings.lease.ask_every_ms = static_cast<double>(part.ask_every_ms);
-  settings.early_ms = static_cast<double>(part.early_ms);
-  settings.keep_ms = static_cast<double>(part.keep_hours) * 3'600'000;
-  settings.most_open = static_cast<std::size_t>(part.most_open);
-  settings.answering.insert(part.answering.begin(), part.answering.end());
-  if (tweak) tweak(settings);
+  settings.store.folder = config.folder;
+  settings.store.most_bytes = static_cast<std::uint64_t>(config.most_mb) * 1'000'000;
+  settings.lease.lease_ms = static_cast<double>(config.lease_ms);
+  settings.lease.ask_every_ms = static_cast<double>(config.ask_every_ms);
+  settings.deadline_margin_ms = static_cast<double>(config.early_ms);
+  settings.retention_ms = static_cast<double>(config.keep_hours) * 3'600'000;
+  settings.max_open_jobs = static_cast<std::size_t>(config.most_open);
+  settings.answering_kinds.insert(config.answering.begin(), config.answering.end());
+  if (adjust_settings) adjust_settings(settings);
   return settings;
 }
 
-lease::Says says_of(const std::string& state) {
+lease::Says inquiry_answer_of(const std::string& state) {
   if (state == "finished") return lease::Says::finished;
   if (state == "failed") return lease::Says::failed;
   if (state == "begun" || state == "running") return lease::Says::running;
@@ -39,91 +41,94 @@
 
 }  // namespace
 
-void check_addresses(const config::JobsPart& part) {
-  net::Address(part.listen);
-  if (!part.operators.empty()) net::Address(part.operators);
+void check_addresses(const config::JobsPart& config) {
+  net::Address(config.listen);
+  if (!config.operators.empty()) net::Address(config.operators);
 }
 
-std::size_t descriptors(const config::JobsPart& part) {
-  return static_cast<std::size_t>(part.links) + kFiles + kOperatorLinks + kListeners +
-         net::WorkerAsks::kThreads;
+std::size_t descriptors(const config::JobsPart& config) {
+  return static_cast<std::size_t>(config.links) + kStoreDescriptors + kMaxOperatorLinks +
+         kListenerDescriptors + net::WorkerAsks::kThreads;
 }
 
-Installation::Installation(const config::JobsPart& part, const Parts& parts,
-                           const std::function<void(Settings&)>& tweak)
-    : part_(part),
-      clock_(parts.clock),
-      hosts_(parts.hosts),
-      park_(parts.park),
-      keeper_(settings_of(part, tweak), parts.settings, parts.class_names, parts.clock, parts.inbox,
-              parts.links, *this),
-      asks_(parts.hosts, parts.clock, kAskMs,
-            [this](const auto& question, const auto& answer) { told(question, answer); }),
-      crew_({.most = static_cast<std::size_t>(part.links) + kOperatorLinks}) {}
+Installation::Installation(const config::JobsPart& config, const Parts& context,
+                           const std::function<void(Settings&)>& adjust_settings)
+    : config_(config),
+      clock_(context.clock),
+      endpoint_client_(context.hosts),
+      event_loop_(context.park),
+      job_service_(make_settings(config, adjust_settings), context.settings, context.class_names,
+                   context.clock, context.inbox, context.links, *this),
+      job_status_client_(
+          context.hosts, context.clock, kInquiryTimeoutMs,
+          [this](const auto& question, const auto& answer) { handle_answer(question, answer); }),
+      thread_pool_({.most = static_cast<std::size_t>(config.links) + kMaxOperatorLinks}) {}
 
 Installation::~Installation() { close(); }
 
 void Installation::open() {
-  keeper_thread_ = park::Thread("jobs", [this] { keeper_.run(); });
-  watch_thread_ = park::Thread("jobs-watch", [this] { watch(); });
+  service_thread_ = park::Thread("jobs", [this] { job_service_.run(); });
+  listener_thread_ = park::Thread("jobs-watch", [this] { open_listeners(); });
 }
 
-// Opens the listeners once the store is ours. While it has failed they stay and answer 503.
-void Installation::watch() {
-  std::string said;
-  for (; !closing_; ::poll(nullptr, 0, kWatchMs)) {
-    if (clients_ || !keeper_.serves()) continue;
+// Opens the listeners once this process holds the store. If the store fails later they stay open and answer
+// 503.
+void Installation::open_listeners() {
+  std::string last_logged;
+  for (; !closing_; ::poll(nullptr, 0, kStoreCheckIntervalMs)) {
+    if (client_frontend_ || !job_service_.is_serving()) continue;
     try {
-      auto listener = net::Socket::listen_at(net::Address(part_.listen));
-      if (!part_.operators.empty() && !operators_)
-        operators_.emplace(net::Socket::listen_at(net::Address(part_.operators)), kOperatorLinks, true,
-                           keeper_, clock_, park_, crew_);
-      clients_.emplace(std::move(listener), static_cast<std::size_t>(part_.links), false, keeper_, clock_,
-                       park_, crew_);
-      if (operators_) operators_port_ = operators_->port();
-      port_ = clients_->port();
-      core::log_line("jobs: clients at " + part_.listen +
-                     (part_.operators.empty() ? "" : ", operators at " + part_.operators));
-    } catch (const std::exception& failed) {
-      if (said != failed.what()) core::log_line("jobs: " + part_.listen + ": " + failed.what());
-      said = failed.what();
+      auto listener = net::Socket::listen_at(net::Address(config_.listen));
+      if (!config_.operators.empty() && !operator_frontend_)
+        operator_frontend_.emplace(net::Socket::listen_at(net::Address(config_.operators)), kMaxOperatorLinks,
+                                   true, job_service_, clock_, event_loop_, thread_pool_);
+      client_frontend_.emplace(std::move(listener), static_cast<std::size_t>(config_.links), false,
+                               job_service_, clock_, event_loop_, thread_pool_);
+      if (operator_frontend_) operators_port_ = operator_frontend_->port();
+      port_ = client_frontend_->port();
+      core::log_line("jobs: clients at " + config_.listen +
+                     (config_.operators.empty() ? "" : ", operators at " + config_.operators));
+    } catch (const std::exception& error) {
+      if (last_logged != error.what()) core::log_line("jobs: " + config_.listen + ": " + error.what());
+      last_logged = error.what();
     }
   }
 }
 
 void Installation::close() {
   closing_ = true;
-  watch_thread_.join();
-  keeper_.stop();
-  keeper_thread_.join();
-  clients_.reset();
-  operators_.reset();
+  listener_thread_.join();
+  job_service_.stop();
+  service_thread_.join();
+  client_frontend_.reset();
+  operator_frontend_.reset();
 }
 
-void Installation::ask(const std::string& worker, const std::string& key, std::uint64_t epoch) {
-  asks_.ask({worker, key, epoch});
+void Installation::inquire(const std::string& worker, const std::string& key, std::uint64_t epoch) {
+  job_status_client_.ask({worker, key, epoch});
 }
 
-std::string Installation::kind_of(const std::string& worker) const {
-  const auto host = hosts_.find(worker);
-  return host ? host->entry.kind : std::string();
+std::string Installation::worker_kind(const std::string& worker) const {
+  const auto endpoint = endpoint_client_.find(worker);
+  return endpoint ? endpoint->entry.kind : std::string();
 }
 
-// What cannot be read is no answer: the worker will be asked again.
-void Installation::told(const net::WorkerAsks::Question& question, const net::WorkerAsks::Answer& answer) {
-  Word word{question.key, question.epoch, lease::Says::unreachable, {}, {}, question.worker};
+// An answer that cannot be parsed counts as none: the worker will be asked again.
+void Installation::handle_answer(const net::WorkerAsks::Question& question,
+                                 const net::WorkerAsks::Answer& answer) {
+  InquiryReply reply{question.key, question.epoch, lease::Says::unreachable, {}, {}, question.worker};
   const auto object = nlohmann::json::parse(answer.came ? answer.body : "", nullptr, false);
   try {
     if (object.is_object()) {
-      word.ledger = object.value("ledger", "");
-      const bool same = question.key.empty() || object.value("job", "") == question.key;
-      if (same && object.contains("state")) word.says = says_of(object.at("state"));
-      if (word.says == lease::Says::finished) word.result = object.at("result");
+      reply.ledger = object.value("ledger", "");
+      const bool same_job = question.key.empty() || object.value("job", "") == question.key;
+      if (same_job && object.contains("state")) reply.answer = inquiry_answer_of(object.at("state"));
+      if (reply.answer == lease::Says::finished) reply.result = object.at("result");
     }
   } catch (const nlohmann::json::exception&) {
-    word.says = lease::Says::unreachable;
+    reply.answer = lease::Says::unreachable;
   }
-  keeper_.hear(std::move(word));
+  job_service_.handle_inquiry_reply(std::move(reply));
 }
 
 }  // namespace woadtide::jobs
--- a/src/jobs/installation.hpp
+++ b/src/jobs/installation.hpp
@@ -1,4 +1,5 @@
-// Durable jobs as a part of a node: asks, keeper and fronts put together, as the operator's file says.
+// Durable jobs as an extension of a node: connects the job service, its frontends and the client for
+// inquiries to workers, as configured in the operator's file.
 #pragma once
 
 #include <memory>
@@ -12,48 +13,50 @@
 
 namespace woadtide::jobs {
 
-// Throws std::invalid_argument where an address in it cannot be one.
-void check_addresses(const config::JobsPart& part);
+// Throws std::invalid_argument if one of the configured addresses is invalid.
+void check_addresses(const config::JobsPart& config);
 
-// Descriptors that the part takes from the node's.
-std::size_t descriptors(const config::JobsPart& part);
+// The number of file descriptors that the extension needs, to be deducted from the budget of the node.
+std::size_t descriptors(const config::JobsPart& config);
 
-class Installation : public Addition, private Asker {
+// Runs the job service and opens its listeners while this process holds the store.
+class Installation : public Addition, private WorkerInquirer {
  public:
-  // `tweak`: for measurements, settings that no operator has.
-  Installation(const config::JobsPart& part, const Parts& parts,
-               const std::function<void(Settings&)>& tweak = {});
+  // `adjust_settings`: for measurements, changes settings that the operator's file does not offer.
+  Installation(const config::JobsPart& config, const Parts& context,
+               const std::function<void(Settings&)>& adjust_settings = {});
   ~Installation() override;
 
-  core::Executor& executor() override { return keeper_; }
-  core::Witness* witness() override { return &keeper_; }
+  core::Executor& executor() override { return job_service_; }
+  core::Witness* witness() override { return &job_service_; }
   void open() override;
-  void set_taking(bool taking) override { keeper_.set_taking(taking); }
-  std::size_t busy() override { return keeper_.out(); }
+  void set_taking(bool accepting) override { job_service_.set_accepting_jobs(accepting); }
+  std::size_t busy() override { return job_service_.active_executions(); }
   void close() override;
 
-  // Where clients and operators are served, 0 while they are not.
+  // The ports for clients and for operators, 0 while the listeners are not open.
   int port() const { return port_; }
   int operators_port() const { return operators_port_; }
 
  private:
-  void ask(const std::string& worker, const std::string& key, std::uint64_t epoch) override;
-  std::string kind_of(const std::string& worker) const override;
-  void told(const net::WorkerAsks::Question& question, const net::WorkerAsks::Answer& answer);
-  void watch();
+  void inquire(const std::string& worker, const std::string& key, std::uint64_t epoch) override;
+  std::string worker_kind(const std::string& worker) const override;
+  void handle_answer(const net::WorkerAsks::Question& question, const net::WorkerAsks::Answer& answer);
+  void open_listeners();
 
-  const config::JobsPart part_;
+  const config::JobsPart config_;
   core::Clock& clock_;
-  const net::HostGroup& hosts_;
-  park::Park& park_;
-  Keeper keeper_;
-  net::WorkerAsks asks_;
-  park::Crew crew_;  // for calls that the Keeper has to answer
+  const net::HostGroup& endpoint_client_;
+  park::Park& event_loop_;
+  DurableJobService job_service_;
+  net::WorkerAsks job_status_client_;
+  park::Crew thread_pool_;  // for calls that block until the job service answers
   std::atomic<bool> closing_{false};
   std::atomic<int> port_{0}, operators_port_{0};
-  // By the watch's thread, while the Keeper has the store: the process that holds it has the listeners too.
-  std::optional<front::jobs::Front> clients_, operators_;
-  park::Thread keeper_thread_, watch_thread_;
+  // Opened by the listener thread once the job service holds the store: the process that holds it has the
+  // listeners too.
+  std::optional<front::jobs::JobsFrontend> client_frontend_, operator_frontend_;
+  park::Thread service_thread_, listener_thread_;
 };
 
 }  // namespace woadtide::jobs
--- a/src/jobs/keeper.cpp
+++ b/src/jobs/keeper.cpp
@@ -20,32 +20,35 @@
 
 namespace {
 
-constexpr double kHeldMs = 100;    // gap between two looks whether the store is free
-constexpr double kBrokenMs = 250;  // and whether it can be read again
-constexpr double kLazyMs = 100;    // a record that nobody waits for is written this late at most
-constexpr double kTidyMs = 1'000;
-constexpr std::size_t kTidyRecords = 500;
-constexpr double kReportMs = 10'000;
-// A client is to have its answer before it gives up: a tenth of its time, and no more than the setting says.
-constexpr double kEarlyShare = 0.1;
-constexpr std::size_t kHandedIn =
-    16;                           // recovered jobs in the loop at once: its limits have to be learned anew
-constexpr double kAgainMs = 200;  // a refused recovered job is handed in again after this, if nothing is said
-constexpr std::size_t kListed = 1'000;
-// A job's record, and the largest result with what the pages around it take.
-constexpr std::uint64_t kRecordBytes = 2'000, kResultBytes = 72'000;
-
-std::string make_nonce() {
+constexpr double kLockRetryMs = 100;    // between attempts to open a store that another process holds
+constexpr double kReopenRetryMs = 250;  // between attempts to open a store that failed; also Retry-After
+constexpr double kMaxLazyWriteDelayMs = 100;  // a record that nobody waits for is written within this time
+constexpr double kCompactionIntervalMs = 1'000;
+constexpr std::size_t kMaxRecordsPerCompaction = 500;
+constexpr double kStatsLogIntervalMs = 10'000;
+// A client must have its answer before it gives up: the margin is a tenth of its time, and at most
+// Settings::deadline_margin_ms.
+constexpr double kMaxDeadlineMarginShare = 0.1;
+// Recovered jobs in the loop at once: the concurrency limits have to be learned again after a start.
+constexpr std::size_t kMaxBacklogJobsInLoop = 16;
+// A job that was recovered or acknowledged with a 202 and is then refused is submitted again after this time,
+// or later if the module says so.
+constexpr double kMinResubmitDelayMs = 200;
+constexpr std::size_t kMaxListedJobs = 1'000;
+// Space reserved for a job's record, and for the largest result including the overhead of its pages.
+constexpr std::uint64_t kReservedRecordBytes = 2'000, kReservedResultBytes = 72'000;
+
+std::string make_query_id_nonce() {
   std::random_device device;
   char text[24];
   std::snprintf(text, sizeof text, "~%08x%08x.", device(), device());
   return text;
 }
 
-// What makes two jobs the same under one key.
-std::string digest_of(const Order& order) {
-  const std::string whole = order.query.class_name + '\n' + order.target + '\n' + order.body;
-  const XXH128_hash_t hash = XXH3_128bits(whole.data(), whole.size());
+// Two submissions under one key are the same job if their digests are equal.
+std::string digest_of(const JobRequest& request) {
+  const std::string identity = request.query.class_name + '\n' + request.target + '\n' + request.body;
+  const XXH128_hash_t hash = XXH3_128bits(identity.data(), identity.size());
   char text[40];
   std::snprintf(text, sizeof text, "%016llx%016llx", static_cast<unsigned long long>(hash.high64),
                 static_cast<unsigned long long>(hash.low64));
@@ -54,368 +57,387 @@
 
 }  // namespace
 
-// What a worker gets, apart from the lease's own fields.
-struct Keeper::Content {
-  std::string target, fields, body;
+// What is sent to a worker, apart from the header fields of the lease.
+struct DurableJobService::JobContent {
+  std::string target, header_fields, body;
 };
 
-class Keeper::QueryAsker : public core::Asker {
+class DurableJobService::JobReplyCallback : public core::Asker {
  public:
-  QueryAsker(Keeper& keeper, std::string query) : keeper_(keeper), query_(std::move(query)) {}
-  void answer(core::Answer answer) override { keeper_.put_message(SettledOf{query_, std::move(answer)}); }
+  JobReplyCallback(DurableJobService& service, std::string query_id)
+      : service_(service), query_id_(std::move(query_id)) {}
+  void answer(core::Answer answer) override {
+    service_.enqueue_message(QueryAnswered{query_id_, std::move(answer)});
+  }
 
  private:
-  Keeper& keeper_;
-  const std::string query_;
+  DurableJobService& service_;
+  const std::string query_id_;
 };
 
-Keeper::Keeper(Settings settings, const woadtide::Settings& classes, std::vector<std::string> class_names,
-               core::Clock& clock, core::Inbox& inbox, core::Executor& next, Asker& asker)
+DurableJobService::DurableJobService(Settings settings, const woadtide::Settings& classes,
+                                     std::vector<std::string> class_names, core::Clock& clock,
+                                     core::Inbox& inbox, core::Executor& next_executor,
+                                     WorkerInquirer& inquirer)
     : settings_(std::move(settings)),
       clock_(clock),
       inbox_(inbox),
-      next_(next),
-      asker_(asker),
-      nonce_(make_nonce()),
-      table_(settings_.lease) {
+      next_executor_(next_executor),
+      inquirer_(inquirer),
+      query_id_nonce_(make_query_id_nonce()),
+      lease_table_(settings_.lease) {
   for (std::size_t i = 0; i < class_names.size() && i < classes.classes.size(); ++i)
-    repeats_[class_names[i]] =
+    repeat_policies_[class_names[i]] =
         classes.classes[i].effect == woadtide::Effect::safe ? lease::Repeat::safe : lease::Repeat::once;
 }
 
-Keeper::~Keeper() = default;
+DurableJobService::~DurableJobService() = default;
 
-// From other threads ---------------------------------------------------------------------------------------
+// --- Called from other threads ---
 
-void Keeper::put_message(Message message) {
+void DurableJobService::enqueue_message(Message message) {
   const std::lock_guard lock(mutex_);
   messages_.push_back(std::move(message));
-  came_.notify_one();
+  message_arrived_.notify_one();
 }
 
-std::deque<Keeper::Message> Keeper::take_messages(double wait_ms) {
+std::deque<DurableJobService::Message> DurableJobService::take_messages(double wait_ms) {
   std::unique_lock lock(mutex_);
-  came_.wait_for(lock, std::chrono::duration<double, std::milli>(wait_ms),
-                 [this] { return !messages_.empty() || stopping_; });
+  message_arrived_.wait_for(lock, std::chrono::duration<double, std::milli>(wait_ms),
+                            [this] { return !messages_.empty() || stopping_; });
   return std::exchange(messages_, {});
 }
 
-void Keeper::stop() {
+void DurableJobService::stop() {
   const std::lock_guard lock(mutex_);
   stopping_ = true;
-  came_.notify_one();
+  message_arrived_.notify_one();
 }
 
-Reply Keeper::call(Call call) {
+Reply DurableJobService::call_and_wait(Call call) {
   std::future<Reply> reply = call.reply.get_future();
   {
     const std::lock_guard lock(mutex_);
     if (stopping_) return {503, {}, "this process is ending\n", 1'000};
     messages_.push_back(std::move(call));
-    came_.notify_one();
+    message_arrived_.notify_one();
   }
   try {
     return reply.get();
-  } catch (const std::future_error&) {  // it ended before it could say anything
+  } catch (const std::future_error&) {  // the service ended before it could answer
     return {503, {}, "this process is ending\n", 1'000};
   }
 }
 
-Reply Keeper::put(Order order) {
-  Call one;
-  one.kind = Call::Kind::put;
-  one.key = order.key;
-  one.order = std::move(order);
-  return call(std::move(one));
+Reply DurableJobService::submit(JobRequest request) {
+  Call call;
+  call.kind = Call::Kind::submit;
+  call.key = request.key;
+  call.request = std::move(request);
+  return call_and_wait(std::move(call));
 }
 
-Reply Keeper::get(const std::string& key, double wait_ms) {
-  Call one;
-  one.key = key;
-  one.wait_until = wait_ms > 0 ? clock_.now() + wait_ms : 0;
-  return call(std::move(one));
+Reply DurableJobService::get(const std::string& key, double wait_ms) {
+  Call call;
+  call.key = key;
+  call.wait_until = wait_ms > 0 ? clock_.now() + wait_ms : 0;
+  return call_and_wait(std::move(call));
 }
 
-Reply Keeper::withdraw(const std::string& key) { return call({.kind = Call::Kind::withdraw, .key = key}); }
-Reply Keeper::list(const std::string& state) { return call({.kind = Call::Kind::list, .state = state}); }
-Reply Keeper::show(const std::string& key) { return call({.kind = Call::Kind::show, .key = key}); }
+Reply DurableJobService::withdraw_job(const std::string& key) {
+  return call_and_wait({.kind = Call::Kind::withdraw, .key = key});
+}
+Reply DurableJobService::list_jobs(const std::string& state) {
+  return call_and_wait({.kind = Call::Kind::list, .state = state});
+}
+Reply DurableJobService::get_record(const std::string& key) {
+  return call_and_wait({.kind = Call::Kind::get_record, .key = key});
+}
 
-Reply Keeper::settle(const std::string& key, bool as_finished, const std::string& who,
-                     const std::string& why) {
-  Call one;
-  one.kind = Call::Kind::settle;
-  one.key = key;
-  one.as_finished = as_finished;
-  one.who = who;
-  one.why = why;
-  return call(std::move(one));
+Reply DurableJobService::settle(const std::string& key, bool as_finished, const std::string& who,
+                                const std::string& reason) {
+  Call call;
+  call.kind = Call::Kind::settle;
+  call.key = key;
+  call.as_finished = as_finished;
+  call.who = who;
+  call.reason = reason;
+  return call_and_wait(std::move(call));
 }
 
-void Keeper::hear(Word word) { put_message(std::move(word)); }
+void DurableJobService::handle_inquiry_reply(InquiryReply reply) { enqueue_message(std::move(reply)); }
 
-// What is no job's goes straight on.
-void Keeper::start(core::Execution execution) {
-  if (!is_job(execution.key)) return next_.start(std::move(execution));
-  put_message(StartAsked{std::move(execution)});
+// Executions that belong to no job are passed on directly.
+void DurableJobService::start(core::Execution execution) {
+  if (!is_job(execution.key)) return next_executor_.start(std::move(execution));
+  enqueue_message(StartRequested{std::move(execution)});
 }
 
-void Keeper::cancel(const core::ExecutionKey& key) {
-  if (!is_job(key)) return next_.cancel(key);
-  put_message(CancelAsked{key});  // behind its start
+void DurableJobService::cancel(const core::ExecutionKey& key) {
+  if (!is_job(key)) return next_executor_.cancel(key);
+  enqueue_message(CancelRequested{key});  // queued, so that it stays behind its start
 }
 
-void Keeper::heard(const core::ExecutionKey& key) {
-  if (is_job(key)) put_message(HeardOf{key});
+void DurableJobService::heard(const core::ExecutionKey& key) {
+  if (is_job(key)) enqueue_message(ActivityReported{key});
 }
 
-void Keeper::ended(const core::ExecutionKey& key, Status status, const std::string& result, bool told) {
-  if (is_job(key)) put_message(EndedOf{key, status, result, told});
+void DurableJobService::ended(const core::ExecutionKey& key, Status status, const std::string& result,
+                              bool reported_by_worker) {
+  if (is_job(key)) enqueue_message(EndReported{key, status, result, reported_by_worker});
 }
 
-// The thread -----------------------------------------------------------------------------------------------
+// --- The service's thread ---
 
-void Keeper::run() {
-  std::string said;
-  const auto say = [&said](const std::string& what) {
-    if (said != what) core::log_line("jobs: " + what);
-    said = what;
+void DurableJobService::run() {
+  std::string last_logged;
+  const auto log_if_new = [&last_logged](const std::string& text) {
+    if (last_logged != text) core::log_line("jobs: " + text);
+    last_logged = text;
   };
   while (!is_stopping()) {
-    double pause = kBrokenMs;
+    double retry_delay_ms = kReopenRetryMs;
     try {
       open_store();
-      said.clear();
+      last_logged.clear();
       recover();
       serve();
-      pause = 0;
-    } catch (const store::Failed& failed) {
-      say(std::string(failed.what()) +
-          (failed.trouble == store::Trouble::held ? "; waiting for it" : "; no jobs now"));
-      if (failed.trouble == store::Trouble::held) pause = kHeldMs;
-    } catch (const std::exception& broken) {
-      say(std::string("a fault of ours: ") + broken.what());
+      retry_delay_ms = 0;
+    } catch (const store::StoreError& error) {
+      log_if_new(std::string(error.what()) +
+                 (error.kind == store::ErrorKind::locked ? "; waiting for it" : "; no jobs now"));
+      if (error.kind == store::ErrorKind::locked) retry_delay_ms = kLockRetryMs;
+    } catch (const std::exception& error) {
+      log_if_new(std::string("internal error: ") + error.what());
     }
-    life_over();
-    wait_apart(pause);
+    close_store();
+    reject_calls_for(retry_delay_ms);
   }
-  wait_apart(0);
+  reject_calls_for(0);
 }
 
-// Nobody is to wait for a store that may not come back. What workers say is kept for later.
-void Keeper::wait_apart(double ms) {
-  std::deque<Message> later;
-  const double until = clock_.now() + ms;
+// Clients must not wait for a store that may not come back. News from workers is kept for later.
+void DurableJobService::reject_calls_for(double duration_ms) {
+  std::deque<Message> deferred;
+  const double until = clock_.now() + duration_ms;
   do {
     for (Message& message : take_messages(std::clamp(until - clock_.now(), 0.0, 20.0))) {
-      if (auto* one = std::get_if<Call>(&message))
-        one->reply.set_value({503, {}, "jobs are not served now\n", kBrokenMs});
-      else if (auto* asked = std::get_if<StartAsked>(&message))
-        inbox_.put(core::ExecutionEnded{asked->execution.key, Status::moot, {}, false, false});
+      if (auto* call = std::get_if<Call>(&message))
+        call->reply.set_value({503, {}, "jobs are not available right now\n", kReopenRetryMs});
+      else if (auto* start = std::get_if<StartRequested>(&message))
+        inbox_.put(core::ExecutionEnded{start->execution.key, Status::moot, {}, false, false});
       else
-        later.push_back(std::move(message));
+        deferred.push_back(std::move(message));
     }
   } while (clock_.now() < until && !is_stopping());
-  put_back(std::move(later));
+  requeue_messages(std::move(deferred));
 }
 
-void Keeper::put_back(std::deque<Message> messages) {
+void DurableJobService::requeue_messages(std::deque<Message> messages) {
   const std::lock_guard lock(mutex_);
   messages_.insert(messages_.begin(), std::make_move_iterator(messages.begin()),
                    std::make_move_iterator(messages.end()));
 }
 
-bool Keeper::is_stopping() const {
+bool DurableJobService::is_stopping() const {
   const std::lock_guard lock(mutex_);
   return stopping_;
 }
 
-void Keeper::open_store() {
+void DurableJobService::open_store() {
   store_.emplace(settings_.store);
-  ahead_ms_ = std::max(0.0, store_->newest() - clock_.now());
-  if (ahead_ms_ > 1'000)
-    core::log_line("jobs: the clock is " + std::to_string(static_cast<long long>(ahead_ms_ / 1'000)) +
+  store_time_offset_ms_ = std::max(0.0, store_->newest() - clock_.now());
+  if (store_time_offset_ms_ > 1'000)
+    core::log_line("jobs: the clock is " +
+                   std::to_string(static_cast<long long>(store_time_offset_ms_ / 1'000)) +
                    " s behind the store's newest stamp; deadlines move along");
-  bytes_used_ = store_->bytes_used();
+  store_bytes_used_ = store_->bytes_used();
 }
 
-// Whatever is open goes to the core by the table of docs/design/durable-jobs.md. Executions that this very
-// process has out under the newest lease go on: the store failed, they did not.
-void Keeper::recover() {
+// Passes every open job to the lease table, by the recovery table of docs/design/durable-jobs.md. Executions
+// that this process itself started under the newest lease go on: the store failed, they did not.
+void DurableJobService::recover() {
   std::size_t count = 0;
-  std::map<std::string, Live> before = std::exchange(live_, {});
+  std::map<std::string, OpenJob> previous = std::exchange(open_jobs_, {});
   store_->read(store::Standing::open, [&](const store::Record& record) {
-    auto [job, face] = read_meta(record);
-    Live& live = live_[job.key];
-    live.face = std::move(face);
-    live.body_written = live.acknowledged = live.paced = true;
+    auto [job, attributes] = parse_meta(record);
+    OpenJob& open_job = open_jobs_[job.key];
+    open_job.attributes = std::move(attributes);
+    open_job.body_written = open_job.acknowledged = open_job.uses_backlog = true;
     count += 1;
-    const auto known = before.find(job.key);
-    if (known != before.end() && known->second.out && known->second.out_epoch == job.epoch) {
-      live.content = known->second.content;
-      live.query = known->second.query;
-      live.query_asker = known->second.query_asker;
-      live.out = known->second.out;
-      live.out_epoch = job.epoch;
-      before.erase(known);
-      feed(lease::Resumed{job});
+    const auto known = previous.find(job.key);
+    if (known != previous.end() && known->second.active_execution &&
+        known->second.active_epoch == job.epoch) {
+      open_job.content = known->second.content;
+      open_job.query_id = known->second.query_id;
+      open_job.reply_callback = known->second.reply_callback;
+      open_job.active_execution = known->second.active_execution;
+      open_job.active_epoch = job.epoch;
+      previous.erase(known);
+      apply_event(lease::Resumed{job});
     } else {
-      feed(lease::Recovered{job});
+      apply_event(lease::Recovered{job});
     }
     return true;
   });
-  for (auto& [key, live] : before) {
-    retract(live);
-    if (!live.out) continue;
-    next_.cancel(*live.out);
-    out_count_ -= 1;
+  for (auto& [key, open_job] : previous) {
+    retract_from_loop(open_job);
+    if (!open_job.active_execution) continue;
+    next_executor_.cancel(*open_job.active_execution);
+    active_count_ -= 1;
   }
-  std::erase_if(keys_, [this](const auto& item) {
-    const auto live = live_.find(item.second);
-    return live == live_.end() || live->second.query != item.first;
+  std::erase_if(key_by_query_id_, [this](const auto& item) {
+    const auto open_job = open_jobs_.find(item.second);
+    return open_job == open_jobs_.end() || open_job->second.query_id != item.first;
   });
   commit(true);
   if (count > 0) core::log_line("jobs: " + std::to_string(count) + " open ones found in the store");
 }
 
-void Keeper::serve() {
-  serves_ = true;
+void DurableJobService::serve() {
+  serving_ = true;
   core::log_line("jobs: served");
   for (;;) {
-    double wait = kLazyMs;
-    if (const auto due = table_.next_due()) wait = std::clamp(*due - now(), 0.0, wait);
-    if (!backlog_.empty()) wait = std::clamp(backlog_.begin()->first - now(), 0.0, wait);
-    come_ = take_messages(wait);
+    double wait_ms = kMaxLazyWriteDelayMs;
+    if (const auto due = lease_table_.next_due()) wait_ms = std::clamp(*due - store_time(), 0.0, wait_ms);
+    if (!backlog_.empty()) wait_ms = std::clamp(backlog_.begin()->first - store_time(), 0.0, wait_ms);
+    unhandled_messages_ = take_messages(wait_ms);
     do {
-      step();
-    } while (!come_.empty());
+      process_messages();
+    } while (!unhandled_messages_.empty());
     const std::lock_guard lock(mutex_);
     if (stopping_ && messages_.empty()) break;
   }
   commit(true);
-  core::log_line("jobs: the store is closed, " + std::to_string(table_.size()) + " jobs open");
+  core::log_line("jobs: the store is closed, " + std::to_string(lease_table_.size()) + " jobs open");
 }
 
-// The store is closed and everything is read anew; what was not committed was told to nobody.
-void Keeper::life_over() {
-  serves_ = false;
+// Closes the store and drops all state, which is read again from the store. What was not committed has been
+// reported to nobody.
+void DurableJobService::close_store() {
+  serving_ = false;
   store_.reset();
-  for (auto& [reply, unsaid] : replies_)
-    reply.set_value({503, {}, "the store failed, ask again\n", kBrokenMs});
+  for (auto& [reply, unsent] : replies_)
+    reply.set_value({503, {}, "the store failed, try again\n", kReopenRetryMs});
   replies_.clear();
   for (Waiter& waiter : waiters_)
-    waiter.reply.set_value({503, {}, "the store failed, ask again\n", kBrokenMs});
+    waiter.reply.set_value({503, {}, "the store failed, try again\n", kReopenRetryMs});
   waiters_.clear();
-  // What workers said in the group that was not committed is news still.
-  std::deque<Message> again;
-  for (Message& message : group_) {
-    if (const auto* ended = std::get_if<EndedOf>(&message)) {
-      if (Live* live = live_of(ended->key); live && !live->out && live->out_epoch > 0) {
-        live->out = ended->key;
-        live->result.reset();
-        out_count_ += 1;
+  // What workers reported in messages that were not committed is still to be handled.
+  std::deque<Message> requeued;
+  for (Message& message : uncommitted_messages_) {
+    if (const auto* ended = std::get_if<EndReported>(&message)) {
+      if (OpenJob* open_job = find_open_job(ended->key);
+          open_job && !open_job->active_execution && open_job->active_epoch > 0) {
+        open_job->active_execution = ended->key;
+        open_job->result.reset();
+        active_count_ += 1;
       }
     }
-    const auto* asked = std::get_if<StartAsked>(&message);
-    if (!std::holds_alternative<Call>(message) && !(asked && asked->seen))
-      again.push_back(std::move(message));
+    const auto* start = std::get_if<StartRequested>(&message);
+    if (!std::holds_alternative<Call>(message) && !(start && start->handled))
+      requeued.push_back(std::move(message));
   }
-  group_.clear();
-  for (Message& message : come_) again.push_back(std::move(message));
-  come_.clear();
-  put_back(std::move(again));
-  for (auto& [key, live] : live_) {
-    for (auto& putter : live.putters) putter.set_value({503, {}, "the store failed, ask again\n", kBrokenMs});
-    live.putters.clear();
-    unsend(live);
-    if (!live.out) retract(live);
+  uncommitted_messages_.clear();
+  for (Message& message : unhandled_messages_) requeued.push_back(std::move(message));
+  unhandled_messages_.clear();
+  requeue_messages(std::move(requeued));
+  for (auto& [key, open_job] : open_jobs_) {
+    for (auto& submitter : open_job.submitters)
+      submitter.set_value({503, {}, "the store failed, try again\n", kReopenRetryMs});
+    open_job.submitters.clear();
+    cancel_pending_start(open_job);
+    if (!open_job.active_execution) retract_from_loop(open_job);
   }
-  table_ = lease::Table(settings_.lease);
+  lease_table_ = lease::Table(settings_.lease);
   effects_.clear();
-  dirty_.clear();
+  unwritten_keys_.clear();
   backlog_.clear();
-  handed_in_ = 0;
-  hurry_ = false;
+  backlog_jobs_in_loop_ = 0;
+  commit_due_ = false;
 }
 
-void Keeper::step() {
-  while (!come_.empty() && group_.size() < settings_.most_group) {
-    group_.push_back(std::move(come_.front()));
-    come_.pop_front();
-    std::visit([this](auto& one) { handle(one); }, group_.back());
+void DurableJobService::process_messages() {
+  while (!unhandled_messages_.empty() && uncommitted_messages_.size() < settings_.most_group) {
+    uncommitted_messages_.push_back(std::move(unhandled_messages_.front()));
+    unhandled_messages_.pop_front();
+    std::visit([this](auto& message) { handle(message); }, uncommitted_messages_.back());
   }
-  if (const auto due = table_.next_due(); due && *due <= now()) feed(lease::Tick{});
+  if (const auto due = lease_table_.next_due(); due && *due <= store_time()) apply_event(lease::Tick{});
   time_out_waiters();
-  const bool late = !dirty_.empty() && clock_.now() - lazy_since_ >= kLazyMs;
-  commit(hurry_ || late);
-  group_.clear();
-  next_of_backlog();
-  tidy();
-  report();
-}
-
-void Keeper::feed(const lease::Event& event) {
-  const std::size_t from = effects_.size();
-  table_.handle(now(), event, effects_);
-  for (std::size_t i = from; i < effects_.size(); ++i) {
+  const bool lazy_write_due =
+      !unwritten_keys_.empty() && clock_.now() - lazy_write_since_ms_ >= kMaxLazyWriteDelayMs;
+  commit(commit_due_ || lazy_write_due);
+  uncommitted_messages_.clear();
+  submit_from_backlog();
+  compact_store();
+  log_stats();
+}
+
+void DurableJobService::apply_event(const lease::Event& event) {
+  const std::size_t first_new = effects_.size();
+  lease_table_.handle(store_time(), event, effects_);
+  for (std::size_t i = first_new; i < effects_.size(); ++i) {
     const auto* write = std::get_if<lease::Write>(&effects_[i]);
     if (!write) continue;
-    if (dirty_.empty()) lazy_since_ = clock_.now();
-    dirty_.insert(write->key);
-    hurry_ = hurry_ || !write->lazy;
+    if (unwritten_keys_.empty()) lazy_write_since_ms_ = clock_.now();
+    unwritten_keys_.insert(write->key);
+    commit_due_ = commit_due_ || !write->lazy;
   }
 }
 
-// Records first, in one commit; then all that rests on them.
-void Keeper::commit(bool all) {
-  if (all || (!replies_.empty() && !dirty_.empty())) {
+// Writes the records in one commit, then performs the effects and sends the replies that depend on them.
+void DurableJobService::commit(bool force) {
+  if (force || (!replies_.empty() && !unwritten_keys_.empty())) {
     std::vector<store::Record> records;
-    for (const std::string& key : dirty_)
-      if (table_.find(key)) records.push_back(record_of(key));
+    for (const std::string& key : unwritten_keys_)
+      if (lease_table_.find(key)) records.push_back(make_record(key));
     if (!records.empty()) {
       store_->append(records);
-      bytes_used_ = store_->bytes_used();
+      store_bytes_used_ = store_->bytes_used();
       counts_.commits += 1;
       counts_.records += records.size();
       for (const store::Record& record : records)
-        if (record.body) live_.at(record.key).body_written = true;
+        if (record.body) open_jobs_.at(record.key).body_written = true;
     }
-    dirty_.clear();
-    hurry_ = false;
+    unwritten_keys_.clear();
+    commit_due_ = false;
   }
-  // Carrying out may lead to further effects of the same group's kind, never to further records.
+  // Performing an effect may lead to further effects for the same commit, never to further records.
   const std::vector<lease::Effect> effects = std::exchange(effects_, {});
-  for (const lease::Effect& effect : effects) carry_out(effect);
+  for (const lease::Effect& effect : effects) perform_effect(effect);
   for (auto& [promise, reply] : replies_) promise.set_value(std::move(reply));
   replies_.clear();
 }
 
-// Calls ----------------------------------------------------------------------------------------------------
+// --- Calls of frontends ---
 
-void Keeper::handle(Call& call) {
+void DurableJobService::handle(Call& call) {
   const auto answer = [&](Reply reply) { replies_.emplace_back(std::move(call.reply), std::move(reply)); };
-  const Job* job = table_.find(call.key);
+  const Job* job = lease_table_.find(call.key);
   switch (call.kind) {
-    case Call::Kind::put:
-      return handle_put(call);
+    case Call::Kind::submit:
+      return handle_submit(call);
     case Call::Kind::get: {
-      // What has been told to nobody yet is no answer either: such a job may still be refused without a
-      // record.
+      // A state that was reported to nobody yet is not reported here either: such a job may still be refused
+      // without a record.
       if (job && call.wait_until > clock_.now()) {
         waiters_.push_back({call.key, call.wait_until, std::move(call.reply)});
         return;
       }
       if (job && lease::is_final(job->state))
-        return answer(reply_of(*job, live_.at(call.key).face, live_.at(call.key).result));
+        return answer(make_reply(*job, open_jobs_.at(call.key).attributes, open_jobs_.at(call.key).result));
       if (job) return answer({202, lease::name_of(job->state), {}, 0});
       const auto stored = store_->find(call.key);
-      return answer(stored ? stored_reply(*stored) : Reply{404, {}, "no such job\n", 0});
+      return answer(stored ? make_stored_reply(*stored) : Reply{404, {}, "no such job\n", 0});
     }
     case Call::Kind::withdraw: {
       if (job && job->state == State::taken) {
-        feed(lease::Withdraw{call.key});
+        apply_event(lease::Withdraw{call.key});
         return answer({200, "refused", "withdrawn\n", 0});
       }
-      if (job || store_->find(call.key)) return answer({409, {}, "it has begun or is over\n", 0});
+      if (job || store_->find(call.key))
+        return answer({409, {}, "the job has already started or ended\n", 0});
       return answer({404, {}, "no such job\n", 0});
     }
     case Call::Kind::list: {
@@ -423,25 +445,26 @@
       if (!call.state.empty() && !wanted) return answer({400, {}, "no such state\n", 0});
       std::string text;
       std::size_t count = 0;
-      const auto line = [&](const Job& one, const Face& face) {
-        if (wanted && one.state != *wanted) return true;
-        text += meta_of(one, face) + '\n';
-        return ++count < kListed;
+      const auto append_line = [&](const Job& listed, const JobAttributes& attributes) {
+        if (wanted && listed.state != *wanted) return true;
+        text += serialize_meta(listed, attributes) + '\n';
+        return ++count < kMaxListedJobs;
       };
-      for (const auto& [key, live] : live_)
-        if (const Job* one = table_.find(key); one && !line(*one, live.face)) break;
-      for (const auto standing : {store::Standing::kept, store::Standing::closed}) {
+      for (const auto& [key, open_job] : open_jobs_)
+        if (const Job* listed = lease_table_.find(key); listed && !append_line(*listed, open_job.attributes))
+          break;
+      for (const auto standing : {store::Standing::retained, store::Standing::closed}) {
         if (standing == store::Standing::closed && !wanted) break;
-        if (count >= kListed) break;
+        if (count >= kMaxListedJobs) break;
         store_->read(standing, [&](const store::Record& record) {
-          const auto [one, face] = read_meta(record);
-          return line(one, face);
+          const auto [listed, attributes] = parse_meta(record);
+          return append_line(listed, attributes);
         });
       }
       return answer({200, {}, std::move(text), 0});
     }
-    case Call::Kind::show: {
-      if (job) return answer({200, {}, meta_of(*job, live_.at(call.key).face) + '\n', 0});
+    case Call::Kind::get_record: {
+      if (job) return answer({200, {}, serialize_meta(*job, open_jobs_.at(call.key).attributes) + '\n', 0});
       const auto stored = store_->find(call.key);
       return answer(stored ? Reply{200, {}, stored->meta + '\n', 0} : Reply{404, {}, "no such job\n", 0});
     }
@@ -449,11 +472,17 @@
       const auto stored = job ? std::nullopt : store_->find(call.key);
       if (!job && !stored) return answer({404, {}, "no such job\n", 0});
       if (stored) {
-        auto [one, face] = read_meta(*stored);
-        if (lease::settle(one, now(), call.as_finished, call.who, call.why)) {
-          store_->append({{call.key, meta_of(one, face), store::Standing::closed, one.changed, {}, {}}});
-          core::log_line("jobs: " + call.key + " was " + one.why + "; now " + lease::name_of(one.state));
-          return answer({200, lease::name_of(one.state), "settled\n", 0});
+        auto [settled, attributes] = parse_meta(*stored);
+        if (lease::settle(settled, store_time(), call.as_finished, call.who, call.reason)) {
+          store_->append({{call.key,
+                           serialize_meta(settled, attributes),
+                           store::Standing::closed,
+                           settled.changed,
+                           {},
+                           {}}});
+          core::log_line("jobs: " + call.key + " was " + settled.why + "; now " +
+                         lease::name_of(settled.state));
+          return answer({200, lease::name_of(settled.state), "settled\n", 0});
         }
       }
       return answer({409, {}, "only a job in doubt can be settled\n", 0});
@@ -461,258 +490,278 @@
   }
 }
 
-void Keeper::handle_put(Call& call) {
-  Order& order = call.order;
+void DurableJobService::handle_submit(Call& call) {
+  JobRequest& request = call.request;
   const auto answer = [&](Reply reply) { replies_.emplace_back(std::move(call.reply), std::move(reply)); };
-  const std::string digest = digest_of(order);
-  const auto repeat = repeat_of(order.query.class_name);
-  if (!repeat) return answer({400, {}, "unknown class\n", 0});
-  if (const Job* job = table_.find(call.key)) {
-    Live& live = live_.at(call.key);
-    if (live.face.digest != digest) return answer({409, {}, "this key has another job\n", 0});
-    if (lease::is_final(job->state)) return answer(reply_of(*job, live.face, live.result));
-    if (live.acknowledged) return answer({202, lease::name_of(job->state), {}, 0});
-    live.putters.push_back(std::move(call.reply));
+  const std::string digest = digest_of(request);
+  const auto repeat_policy = find_repeat_policy(request.query.class_name);
+  if (!repeat_policy) return answer({400, {}, "unknown class\n", 0});
+  if (const Job* job = lease_table_.find(call.key)) {
+    OpenJob& open_job = open_jobs_.at(call.key);
+    if (open_job.attributes.digest != digest)
+      return answer({409, {}, "this key belongs to another job\n", 0});
+    if (lease::is_final(job->state)) return answer(make_reply(*job, open_job.attributes, open_job.result));
+    if (open_job.acknowledged) return answer({202, lease::name_of(job->state), {}, 0});
+    open_job.submitters.push_back(std::move(call.reply));
     return;
   }
   std::uint64_t epoch = 0;
   if (const auto stored = store_->find(call.key)) {
-    const auto [job, face] = read_meta(*stored);
-    if (face.digest != digest) return answer({409, {}, "this key has another job\n", 0});
-    if (job.state != State::refused) return answer(stored_reply(*stored));
+    const auto [job, attributes] = parse_meta(*stored);
+    if (attributes.digest != digest) return answer({409, {}, "this key belongs to another job\n", 0});
+    if (job.state != State::refused) return answer(make_stored_reply(*stored));
     epoch = job.epoch;
   }
-  const auto refuse = [&](const char* why) {
+  const auto refuse = [&](const char* reason) {
     counts_.refused += 1;
-    answer({503, "refused", why, kBrokenMs});
+    answer({503, "refused", reason, kReopenRetryMs});
   };
-  if (!taking_) return refuse("clients are sent away\n");
-  if (table_.size() >= settings_.most_open) return refuse("too many jobs are open\n");
-  // Room for the results of all that are open is held back.
-  const std::uint64_t held = (table_.size() + 1) * (kRecordBytes + kResultBytes);
-  if (bytes_used_ + order.body.size() + held > settings_.store.most_bytes)
+  if (!accepting_) return refuse("clients are sent away\n");
+  if (lease_table_.size() >= settings_.max_open_jobs) return refuse("too many jobs are open\n");
+  // Space for the results of all open jobs is reserved.
+  const std::uint64_t reserved_bytes =
+      (lease_table_.size() + 1) * (kReservedRecordBytes + kReservedResultBytes);
+  if (store_bytes_used_ + request.body.size() + reserved_bytes > settings_.store.most_bytes)
     return refuse("the store is full\n");
-  const double left = order.query.deadline - clock_.now();
-  const double deadline = now() + left - std::min(settings_.early_ms, left * kEarlyShare);
-  Live& live = live_[call.key];
-  live.face = {order.query.class_name, digest, order.target, order.fields, order.query.slots,
-               order.query.cost_ms,    0};
-  live.content = std::make_shared<Content>(Content{order.target, order.fields, std::move(order.body)});
-  live.putters.push_back(std::move(call.reply));
-  feed(lease::Take{call.key, *repeat, deadline, epoch});
-}
-
-// From the loop and the links ------------------------------------------------------------------------------
-
-Keeper::Live* Keeper::live_of(const core::ExecutionKey& key) {
-  const auto found = keys_.find(key.query);
-  if (found == keys_.end()) return nullptr;
-  const auto live = live_.find(found->second);
-  return live != live_.end() && live->second.query == key.query ? &live->second : nullptr;
-}
-
-void Keeper::handle(StartAsked& message) {
-  message.seen = true;
-  Live* live = live_of(message.execution.key);
-  const auto moot = [&] {
+  const double remaining_ms = request.query.deadline - clock_.now();
+  const double deadline = store_time() + remaining_ms -
+                          std::min(settings_.deadline_margin_ms, remaining_ms * kMaxDeadlineMarginShare);
+  OpenJob& open_job = open_jobs_[call.key];
+  open_job.attributes = {
+      request.query.class_name, digest, request.target, request.header_fields, request.query.slots,
+      request.query.cost_ms,    0};
+  open_job.content = std::make_shared<JobContent>(
+      JobContent{request.target, request.header_fields, std::move(request.body)});
+  open_job.submitters.push_back(std::move(call.reply));
+  apply_event(lease::Take{call.key, *repeat_policy, deadline, epoch});
+}
+
+// --- From the decision loop and the server links ---
+
+DurableJobService::OpenJob* DurableJobService::find_open_job(const core::ExecutionKey& key) {
+  const auto found = key_by_query_id_.find(key.query);
+  if (found == key_by_query_id_.end()) return nullptr;
+  const auto open_job = open_jobs_.find(found->second);
+  return open_job != open_jobs_.end() && open_job->second.query_id == key.query ? &open_job->second : nullptr;
+}
+
+void DurableJobService::handle(StartRequested& message) {
+  message.handled = true;
+  OpenJob* open_job = find_open_job(message.execution.key);
+  const auto report_not_started = [&] {
     inbox_.put(core::ExecutionEnded{message.execution.key, Status::moot, {}, false, false});
   };
-  if (!live) return moot();
-  unsend(*live);
+  if (!open_job) return report_not_started();
+  cancel_pending_start(*open_job);
   const std::string worker = message.execution.worker;
-  const bool can_answer = answers(worker);
-  const auto ledger = ledgers_.find(worker);
-  if (can_answer && ledger == ledgers_.end()) asker_.ask(worker, {}, 0);
-  const std::string key = keys_.at(message.execution.key.query);
-  live->chosen = std::move(message.execution);
-  feed(lease::Chosen{key, worker, ledger == ledgers_.end() ? "" : ledger->second, can_answer});
-}
-
-void Keeper::handle(CancelAsked& message) {
-  Live* live = live_of(message.key);
-  if (live && live->chosen && live->chosen->key == message.key)
-    unsend(*live);
+  const bool can_answer = answers_inquiries(worker);
+  const auto ledger = ledger_by_worker_.find(worker);
+  if (can_answer && ledger == ledger_by_worker_.end()) inquirer_.inquire(worker, {}, 0);
+  const std::string key = key_by_query_id_.at(message.execution.key.query);
+  open_job->pending_start = std::move(message.execution);
+  apply_event(
+      lease::Chosen{key, worker, ledger == ledger_by_worker_.end() ? "" : ledger->second, can_answer});
+}
+
+void DurableJobService::handle(CancelRequested& message) {
+  OpenJob* open_job = find_open_job(message.key);
+  if (open_job && open_job->pending_start && open_job->pending_start->key == message.key)
+    cancel_pending_start(*open_job);
   else
-    next_.cancel(message.key);
+    next_executor_.cancel(message.key);
 }
 
-void Keeper::handle(HeardOf& message) {
-  if (Live* live = live_of(message.key); live && live->out == message.key)
-    feed(lease::Heard{keys_.at(message.key.query), live->out_epoch});
+void DurableJobService::handle(ActivityReported& message) {
+  if (OpenJob* open_job = find_open_job(message.key); open_job && open_job->active_execution == message.key)
+    apply_event(lease::Heard{key_by_query_id_.at(message.key.query), open_job->active_epoch});
 }
 
-void Keeper::handle(EndedOf& message) {
-  Live* live = live_of(message.key);
-  if (!live || live->out != message.key) return;
-  live->out.reset();
-  out_count_ -= 1;
-  const lease::End end = message.status == Status::ok               ? lease::End::done
-                         : woadtide::proves_not_run(message.status) ? lease::End::not_run
-                         : message.told                             ? lease::End::failed
-                                                                    : lease::End::unknown;
-  const std::string key = keys_.at(message.key.query);
-  if (end == lease::End::done) live->result = message.result;
-  feed(lease::Ended{key, live->out_epoch, end});
+void DurableJobService::handle(EndReported& message) {
+  OpenJob* open_job = find_open_job(message.key);
+  if (!open_job || open_job->active_execution != message.key) return;
+  open_job->active_execution.reset();
+  active_count_ -= 1;
+  const lease::End outcome = message.status == Status::ok               ? lease::End::done
+                             : woadtide::proves_not_run(message.status) ? lease::End::not_run
+                             : message.reported_by_worker               ? lease::End::failed
+                                                                        : lease::End::unknown;
+  const std::string key = key_by_query_id_.at(message.key.query);
+  if (outcome == lease::End::done) open_job->result = message.result;
+  apply_event(lease::Ended{key, open_job->active_epoch, outcome});
 }
 
-void Keeper::handle(SettledOf& message) {
-  const auto found = keys_.find(message.query);
-  if (found == keys_.end()) return;
+void DurableJobService::handle(QueryAnswered& message) {
+  const auto found = key_by_query_id_.find(message.query_id);
+  if (found == key_by_query_id_.end()) return;
   const std::string key = found->second;
-  const auto at = live_.find(key);
-  if (at == live_.end() || at->second.query != message.query) return;
-  Live& live = at->second;
-  live.query_asker.reset();
-  if (live.paced && handed_in_ > 0) handed_in_ -= 1;
+  const auto found_job = open_jobs_.find(key);
+  if (found_job == open_jobs_.end() || found_job->second.query_id != message.query_id) return;
+  OpenJob& open_job = found_job->second;
+  open_job.reply_callback.reset();
+  if (open_job.uses_backlog && backlog_jobs_in_loop_ > 0) backlog_jobs_in_loop_ -= 1;
   if (message.answer.kind == core::AnswerKind::served) return;
-  const Job* job = table_.find(key);
+  const Job* job = lease_table_.find(key);
   const bool refused = message.answer.kind == core::AnswerKind::refused;
-  live.face.retry_after_ms = message.answer.retry_after_ms;
-  // Once a client was told 202 it is ours to bring home: it is handed in again when the module says, as long
-  // as it has time. Its client reads `taken` meanwhile, and may withdraw it.
-  const double again = std::max(message.answer.retry_after_ms, kAgainMs);
-  if (refused && live.acknowledged && job && job->state == State::taken && now() + again < job->deadline) {
-    retract(live);
-    live.paced = true;
-    backlog_.emplace(now() + again, key);
+  open_job.attributes.retry_after_ms = message.answer.retry_after_ms;
+  // After a 202 the service is responsible for the job: it is submitted again at the time that the module
+  // gives, as long as the deadline allows. Meanwhile its client reads `taken`, and may withdraw it.
+  const double resubmit_delay_ms = std::max(message.answer.retry_after_ms, kMinResubmitDelayMs);
+  if (refused && open_job.acknowledged && job && job->state == State::taken &&
+      store_time() + resubmit_delay_ms < job->deadline) {
+    retract_from_loop(open_job);
+    open_job.uses_backlog = true;
+    backlog_.emplace(store_time() + resubmit_delay_ms, key);
     return;
   }
-  feed(lease::GivenUp{key, refused});
+  apply_event(lease::GivenUp{key, refused});
 }
 
-void Keeper::handle(Word& message) {
-  if (!message.ledger.empty()) ledgers_[message.worker] = message.ledger;
+void DurableJobService::handle(InquiryReply& message) {
+  if (!message.ledger.empty()) ledger_by_worker_[message.worker] = message.ledger;
   if (message.key.empty()) return;
-  const auto live = live_.find(message.key);
-  if (live == live_.end()) return;
-  const Job* job = table_.find(message.key);
-  if (job && job->epoch == message.epoch && message.says == lease::Says::finished)
-    live->second.result = message.result;
-  feed(lease::Answered{message.key, message.epoch, message.says, message.ledger});
+  const auto open_job = open_jobs_.find(message.key);
+  if (open_job == open_jobs_.end()) return;
+  const Job* job = lease_table_.find(message.key);
+  if (job && job->epoch == message.epoch && message.answer == lease::Says::finished)
+    open_job->second.result = message.result;
+  apply_event(lease::Answered{message.key, message.epoch, message.answer, message.ledger});
 }
 
-// What the core wants --------------------------------------------------------------------------------------
+// --- Effects of the lease table ---
 
-void Keeper::carry_out(const lease::Effect& effect) {
-  std::visit([this](const auto& one) { act(one); }, effect);
+void DurableJobService::perform_effect(const lease::Effect& effect) {
+  std::visit([this](const auto& item) { perform(item); }, effect);
 }
 
-void Keeper::act(const lease::Dispatch& effect) {
-  const auto live = live_.find(effect.key);
-  if (live == live_.end()) return;
-  if (!live->second.paced) return hand_in(effect.key);
-  backlog_.emplace(now(), effect.key);
+void DurableJobService::perform(const lease::Dispatch& effect) {
+  const auto open_job = open_jobs_.find(effect.key);
+  if (open_job == open_jobs_.end()) return;
+  if (!open_job->second.uses_backlog) return submit_to_loop(effect.key);
+  backlog_.emplace(store_time(), effect.key);
 }
 
-void Keeper::next_of_backlog() {
-  while (!backlog_.empty() && backlog_.begin()->first <= now() && handed_in_ < kHandedIn) {
+void DurableJobService::submit_from_backlog() {
+  while (!backlog_.empty() && backlog_.begin()->first <= store_time() &&
+         backlog_jobs_in_loop_ < kMaxBacklogJobsInLoop) {
     const std::string key = backlog_.begin()->second;
     backlog_.erase(backlog_.begin());
-    const Job* job = table_.find(key);
-    const auto live = live_.find(key);
-    if (!job || live == live_.end() || job->state != State::taken) continue;
-    handed_in_ += 1;
-    hand_in(key);
+    const Job* job = lease_table_.find(key);
+    const auto open_job = open_jobs_.find(key);
+    if (!job || open_job == open_jobs_.end() || job->state != State::taken) continue;
+    backlog_jobs_in_loop_ += 1;
+    submit_to_loop(key);
   }
 }
 
-void Keeper::hand_in(const std::string& key) {
-  Live& live = live_.at(key);
-  const Job* job = table_.find(key);
+void DurableJobService::submit_to_loop(const std::string& key) {
+  OpenJob& open_job = open_jobs_.at(key);
+  const Job* job = lease_table_.find(key);
   if (!job) return;
-  retract(live);
-  if (!live.content)
-    live.content = std::make_shared<Content>(
-        Content{live.face.target, live.face.fields, store_->body(key).value_or("")});
-  keys_.erase(live.query);
-  live.query = key + nonce_ + std::to_string(++counter_);
-  live.query_asker = std::make_shared<QueryAsker>(*this, live.query);
-  keys_[live.query] = key;
+  retract_from_loop(open_job);
+  if (!open_job.content)
+    open_job.content = std::make_shared<JobContent>(JobContent{
+        open_job.attributes.target, open_job.attributes.header_fields, store_->body(key).value_or("")});
+  key_by_query_id_.erase(open_job.query_id);
+  open_job.query_id = key + query_id_nonce_ + std::to_string(++query_counter_);
+  open_job.reply_callback = std::make_shared<JobReplyCallback>(*this, open_job.query_id);
+  key_by_query_id_[open_job.query_id] = key;
   core::Query query;
-  query.id = live.query;
-  query.class_name = live.face.class_name;
-  query.slots = live.face.slots;
-  query.cost_ms = live.face.cost_ms;
-  query.deadline = job->deadline - ahead_ms_;
-  query.parcel = {live.content, "POST", live.content->target, live.content->fields, {live.content->body}};
-  inbox_.put(core::QueryArrived{std::move(query), live.query_asker});
-}
-
-void Keeper::act(const lease::Start& effect) {
-  const auto found = live_.find(effect.key);
-  if (found == live_.end() || !found->second.chosen) return;
-  Live& live = found->second;
-  core::Execution execution = std::move(*live.chosen);
-  live.chosen.reset();
-  if (live.out) next_.cancel(*live.out);  // of a safe job, whose lease has just ended
-  if (!live.out) out_count_ += 1;
-  live.out = execution.key;
-  live.out_epoch = effect.epoch;
-  const auto leased = std::make_shared<std::pair<std::shared_ptr<const void>, std::string>>();
-  leased->first = execution.parcel.hold;
-  leased->second = std::string(execution.parcel.fields) + "X-Call-Id: " + execution.key.query +
-                   "\r\nX-Job-Key: " + effect.key + "\r\nX-Job-Epoch: " + std::to_string(effect.epoch) +
-                   "\r\nX-Job-Lease: " + std::to_string(static_cast<long long>(settings_.lease.lease_ms)) +
-                   "m\r\n";
-  execution.parcel.fields = leased->second;
-  execution.parcel.hold = leased;
-  next_.start(std::move(execution));
-  live.content.reset();  // the disk has it: open jobs must not fill the memory with bodies
-  if (!live.acknowledged) counts_.taken += 1;
-  live.acknowledged = true;
-  for (auto& putter : live.putters) putter.set_value({202, "leased", {}, 0});
-  live.putters.clear();
-}
-
-void Keeper::act(const lease::Unsend& effect) {
-  if (const auto live = live_.find(effect.key); live != live_.end()) unsend(live->second);
-}
-
-// Nothing of it went out, and the module hears so.
-void Keeper::unsend(Live& live) {
-  if (!live.chosen) return;
-  inbox_.put(core::ExecutionEnded{live.chosen->key, Status::moot, {}, false, false});
-  live.chosen.reset();
-}
-
-void Keeper::act(const lease::Retract& effect) {
-  if (const auto live = live_.find(effect.key); live != live_.end()) retract(live->second);
-}
-
-void Keeper::retract(Live& live) {
-  unsend(live);
-  if (live.query_asker) inbox_.put(core::ClientGone{live.query, live.query_asker});
-  if (live.query_asker && live.paced && handed_in_ > 0) handed_in_ -= 1;
-  live.query_asker.reset();
-}
-
-void Keeper::act(const lease::Ask& effect) { asker_.ask(effect.worker, effect.key, effect.epoch); }
-
-void Keeper::act(const lease::Tell& effect) {
-  const Job* job = table_.find(effect.key);
-  const auto found = live_.find(effect.key);
-  if (!job || found == live_.end()) return;
-  Live& live = found->second;
-  retract(live);
-  if (live.out) out_count_ -= 1;
+  query.id = open_job.query_id;
+  query.class_name = open_job.attributes.class_name;
+  query.slots = open_job.attributes.slots;
+  query.cost_ms = open_job.attributes.cost_ms;
+  query.deadline = job->deadline - store_time_offset_ms_;
+  query.parcel = {open_job.content,
+                  "POST",
+                  open_job.content->target,
+                  open_job.content->header_fields,
+                  {open_job.content->body}};
+  inbox_.put(core::QueryArrived{std::move(query), open_job.reply_callback});
+}
+
+void DurableJobService::perform(const lease::Start& effect) {
+  const auto found = open_jobs_.find(effect.key);
+  if (found == open_jobs_.end() || !found->second.pending_start) return;
+  OpenJob& open_job = found->second;
+  core::Execution execution = std::move(*open_job.pending_start);
+  open_job.pending_start.reset();
+  if (open_job.active_execution)
+    next_executor_.cancel(*open_job.active_execution);  // of an idempotent job whose lease has just ended
+  if (!open_job.active_execution) active_count_ += 1;
+  open_job.active_execution = execution.key;
+  open_job.active_epoch = effect.epoch;
+  const auto lease_fields = std::make_shared<std::pair<std::shared_ptr<const void>, std::string>>();
+  lease_fields->first = execution.parcel.hold;
+  lease_fields->second =
+      std::string(execution.parcel.fields) + "X-Call-Id: " + execution.key.query +
+      "\r\nX-Job-Key: " + effect.key + "\r\nX-Job-Epoch: " + std::to_string(effect.epoch) +
+      "\r\nX-Job-Lease: " + std::to_string(static_cast<long long>(settings_.lease.lease_ms)) + "m\r\n";
+  execution.parcel.fields = lease_fields->second;
+  execution.parcel.hold = lease_fields;
+  next_executor_.start(std::move(execution));
+  open_job.content.reset();  // it is on disk: the bodies of open jobs must not fill the memory
+  if (!open_job.acknowledged) counts_.taken += 1;
+  open_job.acknowledged = true;
+  for (auto& submitter : open_job.submitters) submitter.set_value({202, "leased", {}, 0});
+  open_job.submitters.clear();
+}
+
+void DurableJobService::perform(const lease::Unsend& effect) {
+  if (const auto open_job = open_jobs_.find(effect.key); open_job != open_jobs_.end())
+    cancel_pending_start(open_job->second);
+}
+
+// Nothing was sent to the worker, and the module is notified that the execution did not start.
+void DurableJobService::cancel_pending_start(OpenJob& open_job) {
+  if (!open_job.pending_start) return;
+  inbox_.put(core::ExecutionEnded{open_job.pending_start->key, Status::moot, {}, false, false});
+  open_job.pending_start.reset();
+}
+
+void DurableJobService::perform(const lease::Retract& effect) {
+  if (const auto open_job = open_jobs_.find(effect.key); open_job != open_jobs_.end())
+    retract_from_loop(open_job->second);
+}
+
+void DurableJobService::retract_from_loop(OpenJob& open_job) {
+  cancel_pending_start(open_job);
+  if (open_job.reply_callback) inbox_.put(core::ClientGone{open_job.query_id, open_job.reply_callback});
+  if (open_job.reply_callback && open_job.uses_backlog && backlog_jobs_in_loop_ > 0)
+    backlog_jobs_in_loop_ -= 1;
+  open_job.reply_callback.reset();
+}
+
+void DurableJobService::perform(const lease::Ask& effect) {
+  inquirer_.inquire(effect.worker, effect.key, effect.epoch);
+}
+
+void DurableJobService::perform(const lease::Tell& effect) {
+  const Job* job = lease_table_.find(effect.key);
+  const auto found = open_jobs_.find(effect.key);
+  if (!job || found == open_jobs_.end()) return;
+  OpenJob& open_job = found->second;
+  retract_from_loop(open_job);
+  if (open_job.active_execution) active_count_ -= 1;
   (job->state == State::finished   ? counts_.finished
    : job->state == State::refused  ? counts_.refused
    : job->state == State::in_doubt ? counts_.in_doubt
                                    : counts_.failed) += 1;
   if (job->state == State::in_doubt)
     core::log_line("jobs: " + effect.key + " is in doubt at " + job->worker + ": " + job->why);
-  const Reply reply = reply_of(*job, live.face, live.result);
-  // A PUT that is refused was taken by nobody; any other end of it came within its own call.
-  for (auto& putter : live.putters) putter.set_value(reply);
+  const Reply reply = make_reply(*job, open_job.attributes, open_job.result);
+  // A PUT still waits here if the job was refused before any client was told 202, or reached another final
+  // state within the call.
+  for (auto& submitter : open_job.submitters) submitter.set_value(reply);
   answer_waiters(effect.key, reply);
-  keys_.erase(live.query);
-  live_.erase(found);
-  table_.forget(effect.key);
+  key_by_query_id_.erase(open_job.query_id);
+  open_jobs_.erase(found);
+  lease_table_.forget(effect.key);
 }
 
-// Answers --------------------------------------------------------------------------------------------------
+// --- Replies ---
 
-Reply Keeper::reply_of(const Job& job, const Face& face, const std::optional<std::string>& result) {
+Reply DurableJobService::make_reply(const Job& job, const JobAttributes& attributes,
+                                    const std::optional<std::string>& result) {
   const std::string state = lease::name_of(job.state);
   switch (job.state) {
     case State::finished:
@@ -721,18 +770,19 @@
     case State::in_doubt:
       return {502, state, job.why + '\n', 0};
     case State::refused:
-      return {503, state, job.why + '\n', face.retry_after_ms};
+      return {503, state, job.why + '\n', attributes.retry_after_ms};
     default:
       return {202, state, {}, 0};
   }
 }
 
-Reply Keeper::stored_reply(const store::Record& record) {
-  const auto [job, face] = read_meta(record);
-  return reply_of(job, face, job.state == State::finished ? store_->result(record.key) : std::nullopt);
+Reply DurableJobService::make_stored_reply(const store::Record& record) {
+  const auto [job, attributes] = parse_meta(record);
+  return make_reply(job, attributes,
+                    job.state == State::finished ? store_->result(record.key) : std::nullopt);
 }
 
-void Keeper::answer_waiters(const std::string& key, const Reply& reply) {
+void DurableJobService::answer_waiters(const std::string& key, const Reply& reply) {
   for (auto waiter = waiters_.begin(); waiter != waiters_.end();) {
     const auto next = std::next(waiter);
     if (waiter->key == key) {
@@ -743,11 +793,11 @@
   }
 }
 
-void Keeper::time_out_waiters() {
+void DurableJobService::time_out_waiters() {
   for (auto waiter = waiters_.begin(); waiter != waiters_.end();) {
     const auto next = std::next(waiter);
-    if (waiter->until <= clock_.now()) {
-      const Job* job = table_.find(waiter->key);
+    if (waiter->wait_until <= clock_.now()) {
+      const Job* job = lease_table_.find(waiter->key);
       replies_.emplace_back(std::move(waiter->reply),
                             Reply{202, job ? lease::name_of(job->state) : "", {}, 0});
       waiters_.erase(waiter);
@@ -756,26 +806,27 @@
   }
 }
 
-// Records --------------------------------------------------------------------------------------------------
+// --- Records ---
 
-store::Record Keeper::record_of(const std::string& key) {
-  const Job& job = *table_.find(key);
-  const Live& live = live_.at(key);
-  store::Record record{key, meta_of(job, live.face), store::Standing::open, job.changed, {}, {}};
+store::Record DurableJobService::make_record(const std::string& key) {
+  const Job& job = *lease_table_.find(key);
+  const OpenJob& open_job = open_jobs_.at(key);
+  store::Record record{key, serialize_meta(job, open_job.attributes), store::Standing::open, job.changed, {},
+                       {}};
   if (job.state == State::in_doubt)
-    record.standing = store::Standing::kept;
+    record.standing = store::Standing::retained;
   else if (lease::is_final(job.state))
     record.standing = store::Standing::closed;
-  if (!live.body_written && live.content) record.body = live.content->body;
-  if (job.state == State::finished) record.result = live.result.value_or("");
+  if (!open_job.body_written && open_job.content) record.body = open_job.content->body;
+  if (job.state == State::finished) record.result = open_job.result.value_or("");
   return record;
 }
 
-std::string Keeper::meta_of(const Job& job, const Face& face) const {
+std::string DurableJobService::serialize_meta(const Job& job, const JobAttributes& attributes) const {
   json object = {{"key", job.key},
                  {"state", lease::name_of(job.state)},
                  {"once", job.repeat == lease::Repeat::once},
-                 {"class", face.class_name},
+                 {"class", attributes.class_name},
                  {"deadline", job.deadline},
                  {"epoch", job.epoch},
                  {"worker", job.worker},
@@ -783,16 +834,16 @@
                  {"answers", job.answers},
                  {"changed", job.changed},
                  {"why", job.why},
-                 {"digest", face.digest},
-                 {"target", face.target},
-                 {"fields", face.fields},
-                 {"slots", face.slots},
-                 {"retry", face.retry_after_ms}};
-  if (face.cost_ms) object["cost"] = *face.cost_ms;
+                 {"digest", attributes.digest},
+                 {"target", attributes.target},
+                 {"fields", attributes.header_fields},
+                 {"slots", attributes.slots},
+                 {"retry", attributes.retry_after_ms}};
+  if (attributes.cost_ms) object["cost"] = *attributes.cost_ms;
   return object.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::pair<Job, Keeper::Face> Keeper::read_meta(const store::Record& record) {
+std::pair<Job, DurableJobService::JobAttributes> DurableJobService::parse_meta(const store::Record& record) {
   try {
     const json object = json::parse(record.meta);
     Job job;
@@ -806,45 +857,49 @@
     job.answers = object.at("answers");
     job.changed = object.at("changed");
     job.why = object.at("why");
-    Face face{object.at("class"), object.at("digest"), object.at("target"), object.at("fields"),
-              object.at("slots"), std::nullopt,        object.at("retry")};
-    if (object.contains("cost")) face.cost_ms = object["cost"].get<double>();
-    return {std::move(job), std::move(face)};
+    JobAttributes attributes{object.at("class"),  object.at("digest"), object.at("target"),
+                             object.at("fields"), object.at("slots"),  std::nullopt,
+                             object.at("retry")};
+    if (object.contains("cost")) attributes.cost_ms = object["cost"].get<double>();
+    return {std::move(job), std::move(attributes)};
   } catch (const std::exception&) {
-    throw store::Failed(store::Trouble::damaged,
-                        "store: damaged: the record of '" + record.key + "' cannot be read");
+    throw store::StoreError(store::ErrorKind::damaged,
+                            "store: damaged: the record of '" + record.key + "' cannot be read");
   }
 }
 
-std::optional<lease::Repeat> Keeper::repeat_of(const std::string& class_name) const {
-  const auto found = repeats_.find(class_name);
-  if (found == repeats_.end()) return std::nullopt;
+std::optional<lease::Repeat> DurableJobService::find_repeat_policy(const std::string& class_name) const {
+  const auto found = repeat_policies_.find(class_name);
+  if (found == repeat_policies_.end()) return std::nullopt;
   return found->second;
 }
 
-bool Keeper::answers(const std::string& worker) const {
-  return settings_.answering.contains("*") || settings_.answering.contains(asker_.kind_of(worker));
+bool DurableJobService::answers_inquiries(const std::string& worker) const {
+  return settings_.answering_kinds.contains("*") ||
+         settings_.answering_kinds.contains(inquirer_.worker_kind(worker));
 }
 
-// Old jobs go, a bounded number in each commit of its own.
-void Keeper::tidy() {
-  if (clock_.now() < tidy_at_) return;
-  const auto done = store_->compact(now() - settings_.keep_ms, kTidyRecords);
-  bytes_used_ = store_->bytes_used();
-  tidy_at_ = clock_.now() + (done.dropped == kTidyRecords ? kTidyMs / 10 : kTidyMs);
+// Deletes old jobs, a bounded number in each commit of its own.
+void DurableJobService::compact_store() {
+  if (clock_.now() < next_compaction_ms_) return;
+  const auto compacted = store_->compact(store_time() - settings_.retention_ms, kMaxRecordsPerCompaction);
+  store_bytes_used_ = store_->bytes_used();
+  next_compaction_ms_ =
+      clock_.now() +
+      (compacted.dropped == kMaxRecordsPerCompaction ? kCompactionIntervalMs / 10 : kCompactionIntervalMs);
 }
 
-void Keeper::report() {
-  if (clock_.now() < report_at_) return;
-  report_at_ = clock_.now() + kReportMs;
+void DurableJobService::log_stats() {
+  if (clock_.now() < next_stats_log_ms_) return;
+  next_stats_log_ms_ = clock_.now() + kStatsLogIntervalMs;
   const Counts counts = std::exchange(counts_, {});
   if (counts.taken + counts.refused + counts.commits == 0) return;
   const auto text = [](const char* name, std::uint64_t value) { return name + std::to_string(value); };
   core::log_line("jobs: figures:" + text(" taken ", counts.taken) + text(" refused ", counts.refused) +
                  text(" finished ", counts.finished) + text(" failed ", counts.failed) +
-                 text(" in-doubt ", counts.in_doubt) + text(" open ", table_.size()) +
+                 text(" in-doubt ", counts.in_doubt) + text(" open ", lease_table_.size()) +
                  text(" commits ", counts.commits) + text(" records ", counts.records) +
-                 text(" bytes ", bytes_used_));
+                 text(" bytes ", store_bytes_used_));
 }
 
 }  // namespace woadtide::jobs
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -16,24 +16,26 @@
 
 namespace {
 
-constexpr int kApplication = 0x574f4144, kVersion = 1;  // "WOAD"
+constexpr int kApplicationId = 0x574f4144, kFormatVersion = 1;  // "WOAD"
 constexpr int kPageBytes = 4096;
-constexpr std::size_t kWorthPacking = 512;
-constexpr std::size_t kMostInRow = 2'000;
+constexpr std::size_t kMinCompressBytes = 512;  // smaller parts are not worth compressing
+constexpr std::size_t kMaxInlineBodyBytes = 2'000;
+// Stored numbers: a part of job `id` has the id 2*id + Part, and its column `form` holds a Form. The body of
+// an open job that is too large for its row has the id -id.
 enum Part { kBody = 0, kResult = 1 };
-enum Form { kPlain = 0, kPacked = 1 };
+enum Form { kPlain = 0, kCompressed = 1 };
 
-std::int64_t sum_of(std::string_view key, std::string_view text) {
+std::int64_t checksum_of(std::string_view key, std::string_view text) {
   return static_cast<std::int64_t>(
       XXH3_64bits_withSeed(text.data(), text.size(), XXH3_64bits(key.data(), key.size())));
 }
 
-std::string packed(std::string_view text) {
-  std::string out(ZSTD_compressBound(text.size()), '\0');
-  const std::size_t size = ZSTD_compress(out.data(), out.size(), text.data(), text.size(), 3);
+std::string compress(std::string_view text) {
+  std::string compressed(ZSTD_compressBound(text.size()), '\0');
+  const std::size_t size = ZSTD_compress(compressed.data(), compressed.size(), text.data(), text.size(), 3);
   if (ZSTD_isError(size)) return {};
-  out.resize(size);
-  return out;
+  compressed.resize(size);
+  return compressed;
 }
 
 }  // namespace
@@ -48,102 +50,105 @@
   File& operator=(const File&) = delete;
 
   void run(const char* sql) {
-    usable();
-    if (sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) != SQLITE_OK) fail();
+    require_usable();
+    if (sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) != SQLITE_OK) throw_last_error();
   }
-  std::int64_t number(const char* sql);
-  void usable() const {
-    if (spoiled_) throw Failed(Trouble::failed, "store: not usable after an earlier failure");
+  std::int64_t query_number(const char* sql);
+  void require_usable() const {
+    if (failed_) throw StoreError(ErrorKind::failed, "store: not usable after an earlier failure");
   }
-  // Whatever went wrong, the file's state is not known from here on.
-  [[noreturn]] void fail() {
-    const int code = sqlite3_errcode(db_), system = sqlite3_system_errno(db_);
+  // Throws the error of the last SQLite call. From here on the state of the file is unknown.
+  [[noreturn]] void throw_last_error() {
+    const int code = sqlite3_errcode(db_), system_errno = sqlite3_system_errno(db_);
     std::string what = path_ + ": " + sqlite3_errmsg(db_);
-    if (system != 0) what += std::string(" (") + std::strerror(system) + ")";
-    spoiled_ = true;
+    if (system_errno != 0) what += std::string(" (") + std::strerror(system_errno) + ")";
+    failed_ = true;
     switch (code & 0xff) {
       case SQLITE_BUSY:
       case SQLITE_LOCKED:
-        throw Failed(Trouble::held, "store: " + path_ + " is held by another process");
+        throw StoreError(ErrorKind::locked, "store: " + path_ + " is held by another process");
       case SQLITE_FULL:
-        throw Failed(Trouble::full, "store: no room: " + what);
+        throw StoreError(ErrorKind::full, "store: no room: " + what);
       case SQLITE_CORRUPT:
       case SQLITE_NOTADB:
-        throw Failed(Trouble::damaged, "store: damaged: " + what);
+        throw StoreError(ErrorKind::damaged, "store: damaged: " + what);
       default:
-        throw Failed(system == ENOSPC ? Trouble::full : Trouble::failed, "store: " + what);
+        throw StoreError(system_errno == ENOSPC ? ErrorKind::full : ErrorKind::failed, "store: " + what);
     }
   }
-  [[noreturn]] void damaged(const std::string& key) {
-    throw Failed(Trouble::damaged, "store: damaged: " + path_ + ": the checksum of '" + key + "' is wrong");
+  [[noreturn]] void throw_damaged(const std::string& key) {
+    throw StoreError(ErrorKind::damaged,
+                     "store: damaged: " + path_ + ": the checksum of '" + key + "' is wrong");
   }
-  std::optional<std::string> part(std::int64_t id, const std::string& key);
-  void put_part(std::int64_t id, const std::string& key, std::string_view text, Form form);
-  void put_open(const Record& record);
-  void put_over(const Record& record);
-  std::optional<std::int64_t> id_of(const std::string& key);  // in `job`
-  std::optional<std::string> open_body(std::int64_t id, const std::string& key);
-
-  std::map<std::string, std::int64_t> open_ids;  // in `open_job`, by key
-  // Prepared once. `sql` must be a literal.
-  Statement& prepared(const char* sql);
+  std::optional<std::string> read_part(std::int64_t id, const std::string& key);
+  void write_part(std::int64_t id, const std::string& key, std::string_view text, Form form);
+  void write_open(const Record& record);
+  void write_ended(const Record& record);
+  std::optional<std::int64_t> find_job_id(const std::string& key);  // the id in the table `job`
+  std::optional<std::string> read_open_body(std::int64_t id, const std::string& key);
+
+  std::map<std::string, std::int64_t> open_job_ids;  // ids in the table `open_job`, by key
+  // The statement for `sql`, prepared at its first use. `sql` must be a literal: its address is the key.
+  Statement& prepare(const char* sql);
   sqlite3* db() const { return db_; }
   const std::string& path() const { return path_; }
 
  private:
   std::string path_;
   sqlite3* db_ = nullptr;
-  bool spoiled_ = false;
-  std::map<const char*, std::unique_ptr<Statement>> prepared_;
+  bool failed_ = false;
+  std::map<const char*, std::unique_ptr<Statement>> statements_;
 };
 
-// A prepared statement, bound and stepped through. Each use ends with reset().
+// A prepared statement whose parameters are bound and whose rows are stepped through. Each use ends with
+// reset().
 class Statement {
  public:
   Statement(Store::File& file, const char* sql) : file_(file) {
-    file_.usable();
-    if (sqlite3_prepare_v3(file_.db(), sql, -1, 0, &handle_, nullptr) != SQLITE_OK) file_.fail();
+    file_.require_usable();
+    if (sqlite3_prepare_v3(file_.db(), sql, -1, 0, &handle_, nullptr) != SQLITE_OK) file_.throw_last_error();
   }
   ~Statement() { sqlite3_finalize(handle_); }
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
 
-  // The caller's bytes must stay until the next reset().
-  Statement& text(int at, std::string_view value) {
-    sqlite3_bind_blob64(handle_, at, value.empty() ? "" : value.data(), value.size(), SQLITE_STATIC);
+  // `index` counts from 1. The bytes of `value` are not copied and must stay valid until the next reset().
+  Statement& bind_text(int index, std::string_view value) {
+    sqlite3_bind_blob64(handle_, index, value.empty() ? "" : value.data(), value.size(), SQLITE_STATIC);
     return *this;
   }
-  Statement& number(int at, std::int64_t value) {
-    sqlite3_bind_int64(handle_, at, value);
+  Statement& bind_number(int index, std::int64_t value) {
+    sqlite3_bind_int64(handle_, index, value);
     return *this;
   }
-  Statement& real(int at, double value) {
-    sqlite3_bind_double(handle_, at, value);
+  Statement& bind_real(int index, double value) {
+    sqlite3_bind_double(handle_, index, value);
     return *this;
   }
-  Statement& nothing(int at) {
-    sqlite3_bind_null(handle_, at);
+  Statement& bind_null(int index) {
+    sqlite3_bind_null(handle_, index);
     return *this;
   }
-  // Whether there is a row.
+  // Moves to the next row. Returns false if there is none.
   bool step() {
     const int code = sqlite3_step(handle_);
     if (code == SQLITE_ROW) return true;
-    if (code != SQLITE_DONE) file_.fail();
+    if (code != SQLITE_DONE) file_.throw_last_error();
     return false;
   }
   void reset() { sqlite3_reset(handle_); }
-  void once() {
+  // Runs the statement to its end, for statements that return no rows.
+  void execute() {
     step();
     reset();
   }
-  std::string text_at(int column) const {
+  std::string column_text(int column) const {
     const auto* bytes = static_cast<const char*>(sqlite3_column_blob(handle_, column));
     const auto size = static_cast<std::size_t>(sqlite3_column_bytes(handle_, column));
     return size == 0 ? std::string() : std::string(bytes, size);
   }
-  std::int64_t number_at(int column) const { return sqlite3_column_int64(handle_, column); }
-  double real_at(int column) const { return sqlite3_column_double(handle_, column); }
+  std::int64_t column_number(int column) const { return sqlite3_column_int64(handle_, column); }
+  double column_real(int column) const { return sqlite3_column_double(handle_, column); }
 
  private:
   Store::File& file_;
@@ -151,47 +156,51 @@
 };
 
 Store::File::~File() {
-  prepared_.clear();
+  statements_.clear();
   sqlite3_close_v2(db_);
 }
 
-Statement& Store::File::prepared(const char* sql) {
-  usable();
-  auto& statement = prepared_[sql];
+Statement& Store::File::prepare(const char* sql) {
+  require_usable();
+  auto& statement = statements_[sql];
   if (!statement) statement = std::make_unique<Statement>(*this, sql);
-  statement->reset();  // where an earlier use ended early
+  statement->reset();  // an earlier use may have ended without a reset
   return *statement;
 }
 
 Store::File::File(Options options) : path_(options.folder + "/jobs.db") {
   std::error_code error;
   std::filesystem::create_directories(options.folder, error);
-  if (error) throw Failed(Trouble::failed, "store: " + options.folder + ": " + error.message());
+  if (error) throw StoreError(ErrorKind::failed, "store: " + options.folder + ": " + error.message());
   if (sqlite3_open_v2(path_.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX,
                       nullptr) != SQLITE_OK) {
-    const std::string what = db_ ? sqlite3_errmsg(db_) : "no memory";
+    const std::string what = db_ ? sqlite3_errmsg(db_) : "out of memory";
     sqlite3_close_v2(std::exchange(db_, nullptr));
-    throw Failed(Trouble::failed, "store: " + path_ + ": " + what);
+    throw StoreError(ErrorKind::failed, "store: " + path_ + ": " + what);
   }
   try {
-    // The version is read before anything is changed: a newer file stays as it is.
+    // The version is read before anything is changed: a file of a newer format stays as it is.
     run("PRAGMA locking_mode=EXCLUSIVE");
-    const std::int64_t application = number("PRAGMA application_id"), version = number("PRAGMA user_version");
-    if (application != kApplication &&
-        (application != 0 || number("SELECT count(*) FROM sqlite_master") != 0))
-      throw Failed(Trouble::damaged, "store: " + path_ + " is no store of this program");
-    if (version > kVersion)
-      throw Failed(Trouble::newer, "store: " + path_ + " has format " + std::to_string(version) +
-                                       ", this program knows up to " + std::to_string(kVersion));
-    if (Statement mode(*this, "PRAGMA journal_mode=WAL"); !mode.step() || mode.text_at(0) != "wal") fail();
+    const std::int64_t application = query_number("PRAGMA application_id"),
+                       version = query_number("PRAGMA user_version");
+    if (application != kApplicationId &&
+        (application != 0 || query_number("SELECT count(*) FROM sqlite_master") != 0))
+      throw StoreError(ErrorKind::damaged, "store: " + path_ + " is not a store of this program");
+    if (version > kFormatVersion)
+      throw StoreError(ErrorKind::newer_format, "store: " + path_ + " has format " + std::to_string(version) +
+                                                    ", this program knows up to " +
+                                                    std::to_string(kFormatVersion));
+    if (Statement set_mode(*this, "PRAGMA journal_mode=WAL");
+        !set_mode.step() || set_mode.column_text(0) != "wal")
+      throw_last_error();
     run(options.synced ? "PRAGMA synchronous=FULL" : "PRAGMA synchronous=OFF");
     run("PRAGMA cache_size=-2000");
     run("PRAGMA journal_size_limit=8000000");
     run(("PRAGMA max_page_count=" + std::to_string(options.most_bytes / kPageBytes + 64)).c_str());
-    // Takes the lock for as long as the file is open.
+    // Acquires the lock, which is held until the file is closed.
     run("BEGIN IMMEDIATE");
-    // An open job is one row behind the last one, so that a take changes one page; what is closed moves to a
-    // table with its indexes.
+    // A new open job is a row after the last one, so that accepting a job changes one page; once it is closed
+    // it moves to a table with indexes.
     run("CREATE TABLE IF NOT EXISTS open_job(id INTEGER PRIMARY KEY, key BLOB NOT NULL, changed REAL NOT "
         "NULL,"
         " meta BLOB NOT NULL, sum INTEGER NOT NULL, body BLOB, body_sum INTEGER)");
@@ -204,114 +213,130 @@
     run("CREATE INDEX IF NOT EXISTS job_kept ON job(id) WHERE standing=2");
     run("CREATE INDEX IF NOT EXISTS job_closed ON job(changed) WHERE standing=0");
     run("CREATE INDEX IF NOT EXISTS job_plain ON job(id) WHERE standing=0 AND packed=0");
-    if (version < kVersion) {
-      run(("PRAGMA application_id=" + std::to_string(kApplication)).c_str());
-      run(("PRAGMA user_version=" + std::to_string(kVersion)).c_str());
+    if (version < kFormatVersion) {
+      run(("PRAGMA application_id=" + std::to_string(kApplicationId)).c_str());
+      run(("PRAGMA user_version=" + std::to_string(kFormatVersion)).c_str());
     }
     run("COMMIT");
-    // What a failed sync left in the log is written and synced anew before anything rests on it.
+    // What a failed sync left in the log is written and synced again before anything relies on it.
     run("PRAGMA wal_checkpoint(TRUNCATE)");
     Statement keys(*this, "SELECT id,key FROM open_job");
-    while (keys.step()) open_ids.emplace(keys.text_at(1), keys.number_at(0));
+    while (keys.step()) open_job_ids.emplace(keys.column_text(1), keys.column_number(0));
   } catch (...) {
-    prepared_.clear();
+    statements_.clear();
     sqlite3_close_v2(std::exchange(db_, nullptr));
     throw;
   }
 }
 
-std::int64_t Store::File::number(const char* sql) {
-  Statement& statement = prepared(sql);
-  const std::int64_t value = statement.step() ? statement.number_at(0) : 0;
+std::int64_t Store::File::query_number(const char* sql) {
+  Statement& statement = prepare(sql);
+  const std::int64_t value = statement.step() ? statement.column_number(0) : 0;
   statement.reset();
   return value;
 }
 
-void Store::File::put_part(std::int64_t id, const std::string& key, std::string_view text, Form form) {
-  Statement& put = prepared("INSERT OR REPLACE INTO part VALUES(?,?,?,?)");
-  put.number(1, id).number(2, form).text(3, text).number(4, sum_of(key, text)).once();
+void Store::File::write_part(std::int64_t id, const std::string& key, std::string_view text, Form form) {
+  Statement& write = prepare("INSERT OR REPLACE INTO part VALUES(?,?,?,?)");
+  write.bind_number(1, id)
+      .bind_number(2, form)
+      .bind_text(3, text)
+      .bind_number(4, checksum_of(key, text))
+      .execute();
 }
 
-std::optional<std::string> Store::File::part(std::int64_t id, const std::string& key) {
-  Statement& look = prepared("SELECT form, data, sum FROM part WHERE id=?");
-  if (!look.number(1, id).step()) return std::nullopt;
-  std::string data = look.text_at(1);
-  const std::int64_t sum = look.number_at(2), form = look.number_at(0);
-  look.reset();
-  if (sum != sum_of(key, data)) damaged(key);
+std::optional<std::string> Store::File::read_part(std::int64_t id, const std::string& key) {
+  Statement& select = prepare("SELECT form, data, sum FROM part WHERE id=?");
+  if (!select.bind_number(1, id).step()) return std::nullopt;
+  std::string data = select.column_text(1);
+  const std::int64_t sum = select.column_number(2), form = select.column_number(0);
+  select.reset();
+  if (sum != checksum_of(key, data)) throw_damaged(key);
   if (form == kPlain) return data;
   const auto size = ZSTD_getFrameContentSize(data.data(), data.size());
-  if (size > (1ULL << 27)) damaged(key);  // an error too
+  if (size > (1ULL << 27)) throw_damaged(key);  // holds for the error values of zstd, too
   std::string plain(size, '\0');
-  if (ZSTD_decompress(plain.data(), plain.size(), data.data(), data.size()) != size) damaged(key);
+  if (ZSTD_decompress(plain.data(), plain.size(), data.data(), data.size()) != size) throw_damaged(key);
   return plain;
 }
 
-std::optional<std::int64_t> Store::File::id_of(const std::string& key) {
-  Statement& look = prepared("SELECT id FROM job WHERE key=?");
-  if (!look.text(1, key).step()) return std::nullopt;
-  const std::int64_t id = look.number_at(0);
-  look.reset();
+std::optional<std::int64_t> Store::File::find_job_id(const std::string& key) {
+  Statement& select = prepare("SELECT id FROM job WHERE key=?");
+  if (!select.bind_text(1, key).step()) return std::nullopt;
+  const std::int64_t id = select.column_number(0);
+  select.reset();
   return id;
 }
 
-// A small body lies in its row, a large one apart: a change of the row does not write it again.
-void Store::File::put_open(const Record& record) {
-  const bool apart = record.body && record.body->size() > kMostInRow;
-  const std::int64_t sum = sum_of(record.key, record.meta);
-  auto found = open_ids.find(record.key);
-  if (found == open_ids.end()) {
-    // One key, one record: what was closed and is taken on again leaves its old place.
-    if (const auto id = id_of(record.key)) {
-      prepared("DELETE FROM part WHERE id IN (?1*2,?1*2+1)").number(1, *id).once();
-      prepared("DELETE FROM job WHERE id=?").number(1, *id).once();
+// A small body is stored in its row, a large one in `part`, so that a change of the row does not write it
+// again.
+void Store::File::write_open(const Record& record) {
+  const bool separate_body = record.body && record.body->size() > kMaxInlineBodyBytes;
+  const std::int64_t sum = checksum_of(record.key, record.meta);
+  auto found = open_job_ids.find(record.key);
+  if (found == open_job_ids.end()) {
+    // A key has one record: when a closed job is accepted again, its old row is deleted.
+    if (const auto id = find_job_id(record.key)) {
+      prepare("DELETE FROM part WHERE id IN (?1*2,?1*2+1)").bind_number(1, *id).execute();
+      prepare("DELETE FROM job WHERE id=?").bind_number(1, *id).execute();
     }
-    Statement& put = prepared("INSERT INTO open_job(key,changed,meta,sum,body,body_sum) VALUES(?,?,?,?,?,?)");
-    put.text(1, record.key).real(2, record.changed).text(3, record.meta).number(4, sum);
-    if (record.body && !apart)
-      put.text(5, *record.body).number(6, sum_of(record.key, *record.body));
+    Statement& write =
+        prepare("INSERT INTO open_job(key,changed,meta,sum,body,body_sum) VALUES(?,?,?,?,?,?)");
+    write.bind_text(1, record.key).bind_real(2, record.changed).bind_text(3, record.meta).bind_number(4, sum);
+    if (record.body && !separate_body)
+      write.bind_text(5, *record.body).bind_number(6, checksum_of(record.key, *record.body));
     else
-      put.nothing(5).nothing(6);
-    put.once();
-    found = open_ids.emplace(record.key, sqlite3_last_insert_rowid(db_)).first;
+      write.bind_null(5).bind_null(6);
+    write.execute();
+    found = open_job_ids.emplace(record.key, sqlite3_last_insert_rowid(db_)).first;
   } else {
-    Statement& put = prepared("UPDATE open_job SET changed=?,meta=?,sum=? WHERE id=?");
-    put.real(1, record.changed).text(2, record.meta).number(3, sum).number(4, found->second).once();
-    if (record.body && !apart) {
-      Statement& body = prepared("UPDATE open_job SET body=?,body_sum=? WHERE id=?");
-      body.text(1, *record.body).number(2, sum_of(record.key, *record.body)).number(3, found->second).once();
+    Statement& write = prepare("UPDATE open_job SET changed=?,meta=?,sum=? WHERE id=?");
+    write.bind_real(1, record.changed)
+        .bind_text(2, record.meta)
+        .bind_number(3, sum)
+        .bind_number(4, found->second)
+        .execute();
+    if (record.body && !separate_body) {
+      Statement& body = prepare("UPDATE open_job SET body=?,body_sum=? WHERE id=?");
+      body.bind_text(1, *record.body)
+          .bind_number(2, checksum_of(record.key, *record.body))
+          .bind_number(3, found->second)
+          .execute();
     }
   }
-  if (apart) put_part(-found->second, record.key, *record.body, kPlain);
+  if (separate_body) write_part(-found->second, record.key, *record.body, kPlain);
 }
 
-std::optional<std::string> Store::File::open_body(std::int64_t id, const std::string& key) {
-  Statement& look = prepared("SELECT body,body_sum FROM open_job WHERE id=? AND body IS NOT NULL");
-  if (!look.number(1, id).step()) return part(-id, key);
-  std::string body = look.text_at(0);
-  const std::int64_t sum = look.number_at(1);
-  look.reset();
-  if (sum != sum_of(key, body)) damaged(key);
+std::optional<std::string> Store::File::read_open_body(std::int64_t id, const std::string& key) {
+  Statement& select = prepare("SELECT body,body_sum FROM open_job WHERE id=? AND body IS NOT NULL");
+  if (!select.bind_number(1, id).step()) return read_part(-id, key);
+  std::string body = select.column_text(0);
+  const std::int64_t sum = select.column_number(1);
+  select.reset();
+  if (sum != checksum_of(key, body)) throw_damaged(key);
   return body;
 }
 
-// Closed or kept; where it was open it moves here.
-void Store::File::put_over(const Record& record) {
+// Writes a closed or retained record. If it was open, it is moved from `open_job` to `job`.
+void Store::File::write_ended(const Record& record) {
   std::optional<std::string> body = record.body;
-  if (const auto found = open_ids.find(record.key); found != open_ids.end()) {
-    if (!body) body = open_body(found->second, record.key);
-    prepared("DELETE FROM open_job WHERE id=?").number(1, found->second).once();
-    prepared("DELETE FROM part WHERE id=?").number(1, -found->second).once();
-    open_ids.erase(found);
+  if (const auto found = open_job_ids.find(record.key); found != open_job_ids.end()) {
+    if (!body) body = read_open_body(found->second, record.key);
+    prepare("DELETE FROM open_job WHERE id=?").bind_number(1, found->second).execute();
+    prepare("DELETE FROM part WHERE id=?").bind_number(1, -found->second).execute();
+    open_job_ids.erase(found);
   }
-  auto id = id_of(record.key);
-  Statement& put = id ? prepared("UPDATE job SET standing=?2,changed=?3,packed=0,meta=?4,sum=?5 WHERE key=?1")
-                      : prepared("INSERT INTO job(key,standing,changed,meta,sum) VALUES(?1,?2,?3,?4,?5)");
-  put.text(1, record.key).number(2, static_cast<int>(record.standing)).real(3, record.changed);
-  put.text(4, record.meta).number(5, sum_of(record.key, record.meta)).once();
+  auto id = find_job_id(record.key);
+  Statement& write =
+      id ? prepare("UPDATE job SET standing=?2,changed=?3,packed=0,meta=?4,sum=?5 WHERE key=?1")
+         : prepare("INSERT INTO job(key,standing,changed,meta,sum) VALUES(?1,?2,?3,?4,?5)");
+  write.bind_text(1, record.key)
+      .bind_number(2, static_cast<int>(record.standing))
+      .bind_real(3, record.changed);
+  write.bind_text(4, record.meta).bind_number(5, checksum_of(record.key, record.meta)).execute();
   if (!id) id = sqlite3_last_insert_rowid(db_);
-  if (body) put_part(*id * 2 + kBody, record.key, *body, kPlain);
-  if (record.result) put_part(*id * 2 + kResult, record.key, *record.result, kPlain);
+  if (body) write_part(*id * 2 + kBody, record.key, *body, kPlain);
+  if (record.result) write_part(*id * 2 + kResult, record.key, *record.result, kPlain);
 }
 
 Store::Store(Options options) : file_(std::make_unique<File>(std::move(options))) {}
@@ -320,63 +345,63 @@
 
 void Store::append(const std::vector<Record>& records) {
   if (records.empty()) return;
-  file_->prepared("BEGIN").once();
+  file_->prepare("BEGIN").execute();
   for (const Record& record : records) {
     if (record.standing == Standing::open)
-      file_->put_open(record);
+      file_->write_open(record);
     else
-      file_->put_over(record);
+      file_->write_ended(record);
   }
-  file_->prepared("COMMIT").once();
+  file_->prepare("COMMIT").execute();
 }
 
 namespace {
 // Columns: key, standing, changed, meta, sum.
-Record read_row(Statement& row, Store::File& file) {
+Record read_record(Statement& row, Store::File& file) {
   Record record;
-  record.key = row.text_at(0);
-  record.standing = static_cast<Standing>(row.number_at(1));
-  record.changed = row.real_at(2);
-  record.meta = row.text_at(3);
-  if (row.number_at(4) != sum_of(record.key, record.meta)) file.damaged(record.key);
+  record.key = row.column_text(0);
+  record.standing = static_cast<Standing>(row.column_number(1));
+  record.changed = row.column_real(2);
+  record.meta = row.column_text(3);
+  if (row.column_number(4) != checksum_of(record.key, record.meta)) file.throw_damaged(record.key);
   return record;
 }
 }  // namespace
 
 std::optional<Record> Store::find(const std::string& key) {
-  const auto open = file_->open_ids.find(key);
-  Statement& look = open != file_->open_ids.end()
-                        ? file_->prepared("SELECT key,1,changed,meta,sum FROM open_job WHERE id=?")
-                        : file_->prepared("SELECT key,standing,changed,meta,sum FROM job WHERE key=?");
-  if (open != file_->open_ids.end())
-    look.number(1, open->second);
+  const auto open = file_->open_job_ids.find(key);
+  Statement& select = open != file_->open_job_ids.end()
+                          ? file_->prepare("SELECT key,1,changed,meta,sum FROM open_job WHERE id=?")
+                          : file_->prepare("SELECT key,standing,changed,meta,sum FROM job WHERE key=?");
+  if (open != file_->open_job_ids.end())
+    select.bind_number(1, open->second);
   else
-    look.text(1, key);
-  if (!look.step()) return std::nullopt;
-  Record record = read_row(look, *file_);
-  look.reset();
+    select.bind_text(1, key);
+  if (!select.step()) return std::nullopt;
+  Record record = read_record(select, *file_);
+  select.reset();
   return record;
 }
 
 std::optional<std::string> Store::body(const std::string& key) {
-  if (const auto open = file_->open_ids.find(key); open != file_->open_ids.end())
-    return file_->open_body(open->second, key);
-  const auto id = file_->id_of(key);
-  return id ? file_->part(*id * 2 + kBody, key) : std::nullopt;
+  if (const auto open = file_->open_job_ids.find(key); open != file_->open_job_ids.end())
+    return file_->read_open_body(open->second, key);
+  const auto id = file_->find_job_id(key);
+  return id ? file_->read_part(*id * 2 + kBody, key) : std::nullopt;
 }
 
 std::optional<std::string> Store::result(const std::string& key) {
-  const auto id = file_->open_ids.contains(key) ? std::nullopt : file_->id_of(key);
-  return id ? file_->part(*id * 2 + kResult, key) : std::nullopt;
+  const auto id = file_->open_job_ids.contains(key) ? std::nullopt : file_->find_job_id(key);
+  return id ? file_->read_part(*id * 2 + kResult, key) : std::nullopt;
 }
 
 void Store::read(Standing standing, const std::function<bool(Record)>& take) {
   const char* sql = standing == Standing::open ? "SELECT key,1,changed,meta,sum FROM open_job ORDER BY id"
-                    : standing == Standing::kept
+                    : standing == Standing::retained
                         ? "SELECT key,2,changed,meta,sum FROM job WHERE standing=2 ORDER BY id"
                         : "SELECT key,0,changed,meta,sum FROM job WHERE standing=0 ORDER BY changed DESC";
   Statement rows(*file_, sql);
-  while (rows.step() && take(read_row(rows, *file_))) {
+  while (rows.step() && take(read_record(rows, *file_))) {
   }
 }
 
@@ -385,65 +410,70 @@
   for (const char* sql :
        {"SELECT max(changed) FROM job WHERE standing=0", "SELECT max(changed) FROM open_job",
         "SELECT max(changed) FROM job WHERE standing=2"}) {
-    Statement look(*file_, sql);
-    if (look.step()) newest = std::max(newest, look.real_at(0));
+    Statement select(*file_, sql);
+    if (select.step()) newest = std::max(newest, select.column_real(0));
   }
   return newest;
 }
 
-Store::Compacted Store::compact(double older_than, std::size_t most) {
-  Compacted done;
-  const auto rows = [&](const char* sql) {
+Store::Compacted Store::compact(double older_than, std::size_t max_records) {
+  Compacted compacted;
+  const auto select_rows = [&](const char* sql) {
     std::vector<std::pair<std::int64_t, std::string>> found;
-    Statement look(*file_, sql);
-    look.number(1, static_cast<std::int64_t>(most)).real(2, older_than);
-    while (look.step()) found.emplace_back(look.number_at(0), look.text_at(1));
+    Statement select(*file_, sql);
+    select.bind_number(1, static_cast<std::int64_t>(max_records)).bind_real(2, older_than);
+    while (select.step()) found.emplace_back(select.column_number(0), select.column_text(1));
     return found;
   };
-  const auto old = rows("SELECT id,key FROM job WHERE standing=0 AND changed<?2 ORDER BY changed LIMIT ?1");
-  const auto plain = rows("SELECT id,key FROM job WHERE standing=0 AND packed=0 AND changed>=?2 LIMIT ?1");
-  if (old.empty() && plain.empty()) return done;
+  const auto expired =
+      select_rows("SELECT id,key FROM job WHERE standing=0 AND changed<?2 ORDER BY changed LIMIT ?1");
+  const auto uncompressed =
+      select_rows("SELECT id,key FROM job WHERE standing=0 AND packed=0 AND changed>=?2 LIMIT ?1");
+  if (expired.empty() && uncompressed.empty()) return compacted;
   file_->run("BEGIN");
-  Statement drop_parts(*file_, "DELETE FROM part WHERE id IN (?1*2,?1*2+1)"),
-      drop(*file_, "DELETE FROM job WHERE id=?"), mark(*file_, "UPDATE job SET packed=1 WHERE id=?");
-  for (const auto& [id, key] : old) {
-    drop_parts.number(1, id).once();
-    drop.number(1, id).once();
-    done.dropped += 1;
+  Statement delete_parts(*file_, "DELETE FROM part WHERE id IN (?1*2,?1*2+1)"),
+      delete_job(*file_, "DELETE FROM job WHERE id=?"),
+      mark_packed(*file_, "UPDATE job SET packed=1 WHERE id=?");
+  for (const auto& [id, key] : expired) {
+    delete_parts.bind_number(1, id).execute();
+    delete_job.bind_number(1, id).execute();
+    compacted.dropped += 1;
   }
-  for (const auto& [id, key] : plain) {
+  for (const auto& [id, key] : uncompressed) {
     for (const Part which : {kBody, kResult}) {
-      const auto text = file_->part(id * 2 + which, key);
-      if (!text || text->size() < kWorthPacking) continue;
-      const std::string small = packed(*text);
-      if (!small.empty() && small.size() < text->size()) file_->put_part(id * 2 + which, key, small, kPacked);
+      const auto text = file_->read_part(id * 2 + which, key);
+      if (!text || text->size() < kMinCompressBytes) continue;
+      const std::string smaller = compress(*text);
+      if (!smaller.empty() && smaller.size() < text->size())
+        file_->write_part(id * 2 + which, key, smaller, kCompressed);
     }
-    mark.number(1, id).once();
-    done.packed += 1;
+    mark_packed.bind_number(1, id).execute();
+    compacted.packed += 1;
   }
   file_->run("COMMIT");
-  return done;
+  return compacted;
 }
 
 std::uint64_t Store::bytes_used() {
-  const auto pages = file_->number("PRAGMA page_count") - file_->number("PRAGMA freelist_count");
+  const auto pages = file_->query_number("PRAGMA page_count") - file_->query_number("PRAGMA freelist_count");
   return static_cast<std::uint64_t>(pages) * kPageBytes;
 }
 
 std::size_t Store::check() {
   {
-    Statement whole(*file_, "PRAGMA integrity_check(1)");
-    if (whole.step() && whole.text_at(0) != "ok")
-      throw Failed(Trouble::damaged, "store: damaged: " + file_->path() + ": " + whole.text_at(0));
+    Statement integrity(*file_, "PRAGMA integrity_check(1)");
+    if (integrity.step() && integrity.column_text(0) != "ok")
+      throw StoreError(ErrorKind::damaged,
+                       "store: damaged: " + file_->path() + ": " + integrity.column_text(0));
   }
   std::size_t count = 0;
-  const auto look_at = [&](const Record& record) {
+  const auto verify = [&](const Record& record) {
     body(record.key);
     result(record.key);
     count += 1;
     return true;
   };
-  for (const auto standing : {Standing::open, Standing::kept, Standing::closed}) read(standing, look_at);
+  for (const auto standing : {Standing::open, Standing::retained, Standing::closed}) read(standing, verify);
   return count;
 }
 
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -1,9 +1,9 @@
-// Durable state: records under keys, appended in commits, each synced once. It must not know what a job is,
-// or sockets. One thread uses it. Built on SQLite (WAL, synchronous=FULL, exclusive lock), see
-// docs/design/durable-jobs.md.
+// Durable store: records under keys, written in commits that are synced once each. It must not know what a
+// job is, nor sockets. Used by one thread at a time. Built on SQLite (WAL, synchronous=FULL, exclusive lock),
+// see docs/design/durable-jobs.md.
 //
-// Each row carries a checksum, the file a format version. After any failed write the object refuses
-// everything: what it wrote is not known until a new one has read the file again.
+// Each row carries a checksum, the file a format version. After any failed write the object refuses every
+// further call: the state of the file is unknown until a new Store has read it again.
 #pragma once
 
 #include <cstdint>
@@ -17,61 +17,69 @@
 
 namespace woadtide::store {
 
-enum class Trouble { held, newer, damaged, full, failed };
+// Why a call failed: another process holds the file, its format is newer than this program, it is damaged or
+// foreign, there is no space, anything else.
+enum class ErrorKind { locked, newer_format, damaged, full, failed };
 
-// One plain line for the log.
-struct Failed : std::runtime_error {
-  Failed(Trouble kind, const std::string& what) : std::runtime_error(what), trouble(kind) {}
-  Trouble trouble;
+// what() is a single line of plain text for the log.
+struct StoreError : std::runtime_error {
+  StoreError(ErrorKind error_kind, const std::string& what) : std::runtime_error(what), kind(error_kind) {}
+  ErrorKind kind;
 };
 
-// open: read at the start; kept: neither read at the start nor compacted; closed: compacted once it is old.
-enum class Standing { closed = 0, open = 1, kept = 2 };
+// The numbers are stored in the file.
+// open: read at the start; retained: neither read at the start nor compacted; closed: compacted once it is
+// old.
+enum class Standing { closed = 0, open = 1, retained = 2 };
 
+// What the store holds under one key.
 struct Record {
   std::string key;
-  std::string meta;  // the owner's, opaque here
+  std::string meta;  // defined by the owner, opaque to the store
   Standing standing = Standing::open;
-  double changed = 0;                                 // Unix ms; compaction goes by it
-  std::optional<std::string> body = {}, result = {};  // absent: as it was
+  double changed = 0;                                 // Unix time in ms; compaction selects records by it
+  std::optional<std::string> body = {}, result = {};  // absent: unchanged
 };
 
 struct Options {
-  std::string folder;  // made if it is not there
-  std::uint64_t most_bytes = 1ULL << 30;
-  bool synced = true;  // false: for measurements only
+  std::string folder;                     // created if it does not exist
+  std::uint64_t most_bytes = 1ULL << 30;  // limit of the file's size
+  bool synced = true;                     // whether commits are synced; false is for measurements only
 };
 
+// The open store file. Every call may throw StoreError, also if a checksum does not match.
 class Store {
  public:
-  // Throws Failed.
+  // Opens the file, creating it if necessary, and locks it against other processes.
   explicit Store(Options options);
   ~Store();
   Store(Store&&) noexcept;
 
-  // All of them or none, on the disk when it returns. Throws Failed.
+  // Writes all of the records in one commit, or none if it throws. They are on disk when it returns.
   void append(const std::vector<Record>& records);
 
-  // All below throw Failed, also where a checksum is wrong.
-  std::optional<Record> find(const std::string& key);  // without body and result
+  // The record of this key, without body and result.
+  std::optional<Record> find(const std::string& key);
   std::optional<std::string> body(const std::string& key);
   std::optional<std::string> result(const std::string& key);
-  // Closed ones with the newest change first, the others as they came. Ends when `take`
-  // returns false.
+  // Passes the records of this standing to `take`: closed ones by descending time of change, others in the
+  // order of insertion. Stops when `take` returns false.
   void read(Standing standing, const std::function<bool(Record)>& take);
-  // The newest `changed` of all records, 0 where there are none.
+  // The latest `changed` of all records (Unix time in ms), 0 if there are none.
   double newest();
 
+  // The number of records that compact() deleted and compressed.
   struct Compacted {
     std::size_t dropped = 0, packed = 0;
   };
-  // Drops up to `most` closed records that changed before `older_than`, and compresses up to `most` others.
-  // One commit; call again while it returns anything.
-  Compacted compact(double older_than, std::size_t most);
+  // Deletes up to `max_records` closed records that changed before `older_than` (Unix time in ms), and
+  // compresses up to `max_records` of the other closed ones. One commit; call it again until both counts are
+  // 0.
+  Compacted compact(double older_than, std::size_t max_records);
 
-  // On the disk, without what is free to be used again; for a bound by most_bytes.
+  // Bytes of the file in use, without free pages that can be reused; to be compared with Options::most_bytes.
   std::uint64_t bytes_used();
-  // Reads every row. The number of records.
+  // Reads and verifies every row. Returns the number of records.
   std::size_t check();
 
   class File;
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,5 +1,5 @@
-// The store under faults: kill, failure and half a write at every operation in turn, until a run passes
-// untouched.
+// The store with injected faults: a kill, a failure or a torn write at each operation in turn, until a run
+// completes before the fault occurs.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "store/store.hpp"
 
@@ -20,15 +20,15 @@
 
 using lab::Fault;
 
-struct Folder {
-  Folder() {
+struct TempFolder {
+  TempFolder() {
     std::string name = (std::filesystem::temp_directory_path() / "woadtide-store-XXXXXX").string();
     REQUIRE(::mkdtemp(name.data()));
     path = name;
     lab::install_fault_vfs();
     lab::set_fault(Fault::none, 0);
   }
-  ~Folder() {
+  ~TempFolder() {
     lab::set_fault(Fault::none, 0);
     std::filesystem::remove_all(path);
   }
@@ -40,126 +40,132 @@
   return {key, meta, open ? Standing::open : Standing::closed, changed, {}, {}};
 }
 
-// What a run of commits has been told is on the disk, and the one commit that is under way.
-using Seen = std::map<std::string, std::string>;
-constexpr int kRounds = 12;
+// The meta of each record by key. run_commits() keeps two: what was confirmed to be on disk, and the same
+// including the commit in progress.
+using MetaByKey = std::map<std::string, std::string>;
+constexpr int kCommitCount = 12;
 
-void run_commits(const std::string& path, Seen& told, Seen& under_way) {
+void run_commits(const std::string& path, MetaByKey& confirmed, MetaByKey& in_progress) {
   Store store({path, 64ULL << 20, true});
-  for (int round = 0; round < kRounds; ++round) {
+  for (int round = 0; round < kCommitCount; ++round) {
     const std::string first = "a" + std::to_string(round % 3), second = "b" + std::to_string(round);
     const std::string meta = "m" + std::to_string(round);
-    under_way = told;
-    under_way[first] = under_way[second] = meta;
+    in_progress = confirmed;
+    in_progress[first] = in_progress[second] = meta;
     Record large = record(second, meta, round % 2 == 0, round);
     large.body = std::string(6'000, static_cast<char>('a' + round));
     store.append({record(first, meta), large});
-    told = under_way;
+    confirmed = in_progress;
     if (round == 8) store.compact(0, 100);
   }
 }
 
-Seen all(Store& store) {
-  Seen found;
+MetaByKey read_all(Store& store) {
+  MetaByKey found;
   for (const char group : {'a', 'b'})
-    for (int i = 0; i < kRounds; ++i) {
+    for (int i = 0; i < kCommitCount; ++i) {
       const std::string key = group + std::to_string(i);
-      if (const auto one = store.find(key)) {
-        found[key] = one->meta;
+      if (const auto stored = store.find(key)) {
+        found[key] = stored->meta;
         if (group == 'b') CHECK(store.body(key) == std::string(6'000, static_cast<char>('a' + i)));
       }
     }
   return found;
 }
 
-// For the Nth operation of every N: what was told stays, what was not told is there whole or not at all.
-void try_all(Fault fault) {
-  int untouched = 0;
-  for (int nth = 1; untouched == 0; ++nth) {
+// Injects the fault at the Nth operation for every N: confirmed commits stay, the one in progress is stored
+// completely or not at all.
+void check_fault_at_every_operation(Fault fault) {
+  int completed_at = 0;
+  for (int nth = 1; completed_at == 0; ++nth) {
     CAPTURE(nth);
     REQUIRE(nth < 500);
-    Folder folder;
-    Seen told, under_way;
+    TempFolder folder;
+    MetaByKey confirmed, in_progress;
     lab::set_fault(fault, nth);
     try {
-      run_commits(folder.path, told, under_way);
-    } catch (const Failed&) {
+      run_commits(folder.path, confirmed, in_progress);
+    } catch (const StoreError&) {
     }
-    if (lab::fault_operations() < nth) untouched = nth;
+    if (lab::fault_operations() < nth) completed_at = nth;
     lab::set_fault(Fault::none, 0);
     Store store = folder.open();
     store.check();
-    const Seen found = all(store);
-    CHECK((found == told || found == under_way));
-    if (untouched) CHECK(found.size() == 3 + kRounds);
+    const MetaByKey found = read_all(store);
+    CHECK((found == confirmed || found == in_progress));
+    if (completed_at) CHECK(found.size() == 3 + kCommitCount);
   }
-  CHECK(untouched > 40);
+  CHECK(completed_at > 40);
 }
 
-TEST_CASE("killed before any operation: what was committed stays, nothing is there by half") {
-  try_all(Fault::dead);
+TEST_CASE("a crash before any operation keeps committed records and leaves no partial commit") {
+  check_fault_at_every_operation(Fault::dead);
 }
-TEST_CASE("half of any write: what was committed stays, nothing is there by half") { try_all(Fault::tear); }
-TEST_CASE("any operation fails: what was committed stays, nothing is there by half") { try_all(Fault::fail); }
-TEST_CASE("no room at any operation: what was committed stays, nothing is there by half") {
-  try_all(Fault::full);
+TEST_CASE("a torn write at any operation keeps committed records and leaves no partial commit") {
+  check_fault_at_every_operation(Fault::tear);
+}
+TEST_CASE("a failure of any operation keeps committed records and leaves no partial commit") {
+  check_fault_at_every_operation(Fault::fail);
+}
+TEST_CASE("a full disk at any operation keeps committed records and leaves no partial commit") {
+  check_fault_at_every_operation(Fault::full);
 }
 
 TEST_CASE("after a failed commit the store refuses everything until it is opened again") {
-  Folder folder;
+  TempFolder folder;
   Store store = folder.open();
   store.append({record("k", "one")});
   lab::set_fault(Fault::fail, 1);
-  CHECK_THROWS_AS(store.append({record("k", "two")}), Failed);
+  CHECK_THROWS_AS(store.append({record("k", "two")}), StoreError);
   lab::set_fault(Fault::none, 0);
-  CHECK_THROWS_AS(store.find("k"), Failed);
-  CHECK_THROWS_AS(store.append({record("l", "x")}), Failed);
+  CHECK_THROWS_AS(store.find("k"), StoreError);
+  CHECK_THROWS_AS(store.append({record("l", "x")}), StoreError);
 }
 
-TEST_CASE("a second opener is told in one line that the store is held") {
-  Folder folder;
+TEST_CASE("opening a store that is already open fails with a one-line error") {
+  TempFolder folder;
   Store store = folder.open();
   try {
     folder.open();
-    FAIL("it was opened twice");
-  } catch (const Failed& told) {
-    CHECK(told.trouble == Trouble::held);
-    CHECK(std::string(told.what()).find('\n') == std::string::npos);
+    FAIL("the store was opened twice");
+  } catch (const StoreError& error) {
+    CHECK(error.kind == ErrorKind::locked);
+    CHECK(std::string(error.what()).find('\n') == std::string::npos);
   }
 }
 
-// Rewrites some bytes of the file, as a bad disk would.
-void spoil(const std::string& path, const std::string& what, const std::string& with) {
+// Overwrites some bytes of the file, as a faulty disk might.
+void corrupt(const std::string& path, const std::string& text, const std::string& replacement) {
   std::fstream file(path, std::ios::in | std::ios::out | std::ios::binary);
-  std::string all((std::istreambuf_iterator<char>(file)), {});
-  const auto at = all.find(what);
-  REQUIRE(at != std::string::npos);
+  std::string content((std::istreambuf_iterator<char>(file)), {});
+  const auto position = content.find(text);
+  REQUIRE(position != std::string::npos);
   file.clear();
-  file.seekp(static_cast<std::streamoff>(at));
-  file << with;
+  file.seekp(static_cast<std::streamoff>(position));
+  file << replacement;
 }
 
-TEST_CASE("a changed byte is found and named, a newer or foreign file is left as it was") {
-  Folder folder;
+TEST_CASE("a changed byte is reported with its key, and a newer or foreign file is refused") {
+  TempFolder folder;
   folder.open().append({record("some-key", "meta-of-it")});
   const std::string path = folder.path + "/jobs.db";
-  spoil(path, "meta-of-it", "meta-of-XX");
+  corrupt(path, "meta-of-it", "meta-of-XX");
   {
     Store store = folder.open();
     try {
       store.find("some-key");
-      FAIL("the checksum was not looked at");
-    } catch (const Failed& told) {
-      CHECK(told.trouble == Trouble::damaged);
-      CHECK(std::string(told.what()).find("some-key") != std::string::npos);
+      FAIL("the checksum was not verified");
+    } catch (const StoreError& error) {
+      CHECK(error.kind == ErrorKind::damaged);
+      CHECK(std::string(error.what()).find("some-key") != std::string::npos);
     }
   }
-  const auto trouble = [&] {
+  const auto open_error = [&] {
     try {
       folder.open();
-      return Trouble::failed;
-    } catch (const Failed& told) {
-      return told.trouble;
+      return ErrorKind::failed;
+    } catch (const StoreError& error) {
+      return error.kind;
     }
   };
   {  // byte 60 of the header: the user version, big-endian
@@ -167,17 +173,17 @@
     file.seekp(63);
     file.put(9);
   }
-  CHECK(trouble() == Trouble::newer);
+  CHECK(open_error() == ErrorKind::newer_format);
   {
     std::ofstream file(path, std::ios::binary);
     file << "this is some other file, and a longer one than a header, of no use here: "
          << std::string(200, 'x');
   }
-  CHECK(trouble() == Trouble::damaged);
+  CHECK(open_error() == ErrorKind::damaged);
 }
 
-TEST_CASE("closed records are packed, dropped by age, and their room is used again") {
-  Folder folder;
+TEST_CASE("closed records are compressed and then deleted by age, and their space is reused") {
+  TempFolder folder;
   Store store = folder.open();
   std::vector<Record> records;
   for (int i = 0; i < 200; ++i) {
@@ -185,10 +191,10 @@
     records.back().result = std::string(20'000, 'r');
   }
   store.append(records);
-  const auto before = store.bytes_used();
+  const auto bytes_before = store.bytes_used();
   while (store.compact(0, 50).packed > 0) {
   }
-  CHECK(store.bytes_used() < before / 4);
+  CHECK(store.bytes_used() < bytes_before / 4);
   CHECK(store.result("k7") == std::string(20'000, 'r'));
   CHECK(store.newest() == 199);
   while (store.compact(150, 50).dropped > 0) {
@@ -197,12 +203,12 @@
   CHECK(store.find("k150"));
   CHECK_FALSE(store.result("k149"));
   CHECK(store.check() == 50);
-  int open = 0;
+  int open_count = 0;
   store.append({record("o", "m", false)});
-  store.append({record("o", "m")});  // taken on again: one record
+  store.append({record("o", "m")});  // accepted again: still one record
   CHECK(store.check() == 51);
-  store.read(Standing::open, [&](const Record& one) { return open += one.key == "o" ? 1 : 100, true; });
-  CHECK(open == 1);
+  store.read(Standing::open, [&](const Record& one) { return open_count += one.key == "o" ? 1 : 100, true; });
+  CHECK(open_count == 1);
 }
 
 }  // namespace
