--- a/src/jobs/keeper.cpp
+++ b/src/jobs/keeper.cpp
@@ -62,6 +62,7 @@
   std::string target, header_fields, body;
 };
 
+// Passes the answer of the decision loop to one query of a job on to the service.
 class DurableJobService::JobReplyCallback : public core::Asker {
  public:
   JobReplyCallback(DurableJobService& service, std::string query_id)
@@ -216,7 +217,7 @@
   reject_calls_for(0);
 }
 
-// Clients must not wait for a store that may not come back. News from workers is kept for later.
+// Clients must not wait for a store that may not come back. Reports from workers are kept for later.
 void DurableJobService::reject_calls_for(double duration_ms) {
   std::deque<Message> deferred;
   const double until = clock_.now() + duration_ms;
@@ -323,7 +324,7 @@
   for (Waiter& waiter : waiters_)
     waiter.reply.set_value({503, {}, "the store failed, try again\n", kReopenRetryMs});
   waiters_.clear();
-  // What workers reported in messages that were not committed is still to be handled.
+  // Reports from workers that were handled but not committed have to be handled again.
   std::deque<Message> requeued;
   for (Message& message : uncommitted_messages_) {
     if (const auto* ended = std::get_if<EndReported>(&message)) {
--- a/src/jobs/keeper.hpp
+++ b/src/jobs/keeper.hpp
@@ -174,6 +174,7 @@
     double retry_after_ms = 0;
   };
   struct JobContent;  // what is sent to workers
+  // A job without a final state, or whose final state is not reported yet.
   struct OpenJob {
     JobAttributes attributes;
     std::shared_ptr<const JobContent> content;  // a recovered job loads it only when it is submitted
@@ -184,9 +185,10 @@
     std::uint64_t active_epoch = 0;
     std::optional<std::string> result;  // to be written
     bool body_written = false, acknowledged = false;
-    bool uses_backlog = false;  // is submitted to the loop by way of the backlog
-    std::list<std::promise<Reply>> submitters;
+    bool uses_backlog = false;                  // is submitted to the loop by way of the backlog
+    std::list<std::promise<Reply>> submitters;  // PUTs that wait for their reply
   };
+  // A GET that waits for the final state of a job.
   struct Waiter {
     std::string key;
     double wait_until;
@@ -268,7 +270,7 @@
   std::map<std::string, std::string> key_by_query_id_;
   std::map<std::string, std::string> ledger_by_worker_;  // as each worker last reported it
   std::deque<Message> unhandled_messages_;               // taken, but not handled yet
-  // Handled, but not committed yet: news about executions must survive a store that fails.
+  // Handled, but not committed yet: reports about executions must survive a store failure.
   std::deque<Message> uncommitted_messages_;
   std::vector<lease::Effect> effects_;
   std::set<std::string> unwritten_keys_;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -406,14 +406,14 @@
 }
 
 double Store::newest() {
-  double newest = 0;
+  double newest_change = 0;
   for (const char* sql :
        {"SELECT max(changed) FROM job WHERE standing=0", "SELECT max(changed) FROM open_job",
         "SELECT max(changed) FROM job WHERE standing=2"}) {
     Statement select(*file_, sql);
-    if (select.step()) newest = std::max(newest, select.column_real(0));
+    if (select.step()) newest_change = std::max(newest_change, select.column_real(0));
   }
-  return newest;
+  return newest_change;
 }
 
 Store::Compacted Store::compact(double older_than, std::size_t max_records) {
--- a/tests/jobs_test.cpp
+++ b/tests/jobs_test.cpp
@@ -283,19 +283,19 @@
   TestCluster cluster([](const Begun&) { return Plan{200}; });
   Dispatcher dispatcher(cluster);
   CHECK(contains(dispatcher.put("k"), " 202 "));
-  const auto call = [&](const std::string& line) {
+  const auto run_command = [&](const std::string& line) {
     Peer link = Peer::to(dispatcher.node->management_port());
     link.write(line);
     while (link.read_some()) {
     }
     return link.come;
   };
-  CHECK(call("evacuate\n") == "done\n");
+  CHECK(run_command("evacuate\n") == "done\n");
   CHECK(contains(dispatcher.send_request("GET /health/ready HTTP/1.1\r\n\r\n"), " 503 "));
   CHECK(contains(dispatcher.put("late"), " 503 "));
   CHECK(contains(dispatcher.put("k"), " 202 "));
   CHECK(contains(dispatcher.get("k"), " 200 "));
-  CHECK(call("activate\n") == "done\n");
+  CHECK(run_command("activate\n") == "done\n");
   CHECK(contains(dispatcher.put("late"), " 202 "));
 }
 
@@ -461,11 +461,11 @@
 std::string capture_stream(int stream, const std::string& folder, const std::function<void()>& work) {
   const std::string path = folder + "/captured";
   std::cout.flush();
-  const net::Fd kept(::dup(stream)), file(::open(path.c_str(), O_RDWR | O_CREAT | O_TRUNC, 0600));
+  const net::Fd saved_stream(::dup(stream)), file(::open(path.c_str(), O_RDWR | O_CREAT | O_TRUNC, 0600));
   ::dup2(file.get(), stream);
   work();
   std::cout.flush();
-  ::dup2(kept.get(), stream);
+  ::dup2(saved_stream.get(), stream);
   std::ifstream read(path);
   return {std::istreambuf_iterator<char>(read), {}};
 }
@@ -519,10 +519,10 @@
     core::log_line("jobs: served");
   });
   CHECK(text.ends_with("Z jobs: served\n"));
-  int ends[2];
-  REQUIRE(::pipe(ends) == 0);
-  const net::Fd reader(ends[0]), kept(::dup(2));
-  net::Fd writer(ends[1]);
+  int pipe_fds[2];
+  REQUIRE(::pipe(pipe_fds) == 0);
+  const net::Fd reader(pipe_fds[0]), saved_stream(::dup(2));
+  net::Fd writer(pipe_fds[1]);
   ::dup2(writer.get(), 2);
   std::optional<log::Structured> log;
   log.emplace(true, 64);
@@ -530,7 +530,7 @@
   const double started_ms = clock.now();
   for (int i = 0; i < 5'000; ++i) core::log_line("test: " + std::string(100, 'x'));
   const double elapsed_ms = clock.now() - started_ms;
-  ::dup2(kept.get(), 2);
+  ::dup2(saved_stream.get(), 2);
   std::string received;
   std::thread reader_thread([&] {
     std::vector<char> buffer(65'536);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -36,7 +36,7 @@
   std::string path;
 };
 
-Record record(const std::string& key, const std::string& meta, bool open = true, double changed = 1) {
+Record make_record(const std::string& key, const std::string& meta, bool open = true, double changed = 1) {
   return {key, meta, open ? Standing::open : Standing::closed, changed, {}, {}};
 }
 
@@ -52,9 +52,9 @@
     const std::string meta = "m" + std::to_string(round);
     in_progress = confirmed;
     in_progress[first] = in_progress[second] = meta;
-    Record large = record(second, meta, round % 2 == 0, round);
+    Record large = make_record(second, meta, round % 2 == 0, round);
     large.body = std::string(6'000, static_cast<char>('a' + round));
-    store.append({record(first, meta), large});
+    store.append({make_record(first, meta), large});
     confirmed = in_progress;
     if (round == 8) store.compact(0, 100);
   }
@@ -114,12 +114,12 @@
 TEST_CASE("after a failed commit the store refuses everything until it is opened again") {
   TempFolder folder;
   Store store = folder.open();
-  store.append({record("k", "one")});
+  store.append({make_record("k", "one")});
   lab::set_fault(Fault::fail, 1);
-  CHECK_THROWS_AS(store.append({record("k", "two")}), StoreError);
+  CHECK_THROWS_AS(store.append({make_record("k", "two")}), StoreError);
   lab::set_fault(Fault::none, 0);
   CHECK_THROWS_AS(store.find("k"), StoreError);
-  CHECK_THROWS_AS(store.append({record("l", "x")}), StoreError);
+  CHECK_THROWS_AS(store.append({make_record("l", "x")}), StoreError);
 }
 
 TEST_CASE("opening a store that is already open fails with a one-line error") {
@@ -147,7 +147,7 @@
 
 TEST_CASE("a changed byte is reported with its key, and a newer or foreign file is refused") {
   TempFolder folder;
-  folder.open().append({record("some-key", "meta-of-it")});
+  folder.open().append({make_record("some-key", "meta-of-it")});
   const std::string path = folder.path + "/jobs.db";
   corrupt(path, "meta-of-it", "meta-of-XX");
   {
@@ -168,7 +168,7 @@
       return error.kind;
     }
   };
-  {  // byte 60 of the header: the user version, big-endian
+  {  // sets the last byte of the format version: user_version, big-endian, at byte 60 of the header
     std::fstream file(path, std::ios::in | std::ios::out | std::ios::binary);
     file.seekp(63);
     file.put(9);
@@ -187,7 +187,7 @@
   Store store = folder.open();
   std::vector<Record> records;
   for (int i = 0; i < 200; ++i) {
-    records.push_back(record("k" + std::to_string(i), "m", false, i));
+    records.push_back(make_record("k" + std::to_string(i), "m", false, i));
     records.back().result = std::string(20'000, 'r');
   }
   store.append(records);
@@ -204,8 +204,8 @@
   CHECK_FALSE(store.result("k149"));
   CHECK(store.check() == 50);
   int open_count = 0;
-  store.append({record("o", "m", false)});
-  store.append({record("o", "m")});  // accepted again: still one record
+  store.append({make_record("o", "m", false)});
+  store.append({make_record("o", "m")});  // accepted again: still one record
   CHECK(store.check() == 51);
   store.read(Standing::open, [&](const Record& one) { return open_count += one.key == "o" ? 1 : 100, true; });
   CHECK(open_count == 1);
