--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -22,16 +22,17 @@
 namespace options = boost::program_options;
 using nlohmann::json;
 
-constexpr int kWentBack = 1, kOnItsWay = 3;
-constexpr double kAskMs = 1'000;
+constexpr int kExitRolledBack = 1, kExitUnfinished = 3;
+constexpr double kStatusTimeoutMs = 1'000;
 
 struct OperatorOption {
   std::string path;
   OperatorOption() {
-    if (const char* told = std::getenv("WOADTIDE_OPERATOR")) path = told;
+    if (const char* value = std::getenv("WOADTIDE_OPERATOR")) path = value;
   }
-  void add(options::options_description& to) {
-    to.add_options()("operator,o", options::value(&path), "the operator's file, TOML; $WOADTIDE_OPERATOR");
+  void add(options::options_description& description) {
+    description.add_options()("operator,o", options::value(&path),
+                              "the operator's file, TOML; $WOADTIDE_OPERATOR");
   }
   config::OperatorFile load() const {
     if (path.empty())
@@ -40,28 +41,28 @@
   }
 };
 
-void print_status(const json& said) {
-  std::cout << "change   " << said.value("change", "") << "\nphase    " << said.value("phase", "");
-  if (said.contains("stage"))
-    std::cout << ", stage " << said["stage"] << " of " << said["stages"].size() << ", " << said["on_new"]
-              << " of " << said["allowed"] << " on the new version";
-  std::cout << (said.value("runs", false) ? "" : "  (no controller runs)") << '\n';
+void print_status(const json& status) {
+  std::cout << "change   " << status.value("change", "") << "\nphase    " << status.value("phase", "");
+  if (status.contains("stage"))
+    std::cout << ", stage " << status["stage"] << " of " << status["stages"].size() << ", "
+              << status["on_new"] << " of " << status["allowed"] << " on the new version";
+  std::cout << (status.value("runs", false) ? "" : "  (no controller runs)") << '\n';
   for (const char* key : {"paused", "reason"})
-    if (!said.value(key, "").empty()) std::cout << key << "   " << said.value(key, "") << '\n';
-  if (said.contains("verdict"))
-    std::cout << "verdict  " << (said["verdict"].value("worse", "").empty() ? "" : "worse: ")
-              << said["verdict"].value("worse", "") << " (" << said["verdict"].value("of", "")
-              << " may be more by " << said["verdict"]["widest"] << ", margin " << said["verdict"]["margin"]
-              << ")\n";
-  for (const auto& [name, one] : said["members"].items())
-    std::cout << name << '\t' << one.value("zone", "") << '\t' << one.value("place", "") << '\t'
-              << (one.value("reached", false) ? one.value("version", "") : "not reached")
-              << (one.value("serves", false) ? "" : "\tnobody serves")
-              << (one.value("evacuated", false) ? "\tevacuated" : "")
-              << (one.value("order", "").empty() ? "" : "\tordered: " + one.value("order", "")) << '\n';
+    if (!status.value(key, "").empty()) std::cout << key << "   " << status.value(key, "") << '\n';
+  if (status.contains("verdict"))
+    std::cout << "verdict  " << (status["verdict"].value("worse", "").empty() ? "" : "worse: ")
+              << status["verdict"].value("worse", "") << " (" << status["verdict"].value("of", "")
+              << " may be more by " << status["verdict"]["widest"] << ", margin "
+              << status["verdict"]["margin"] << ")\n";
+  for (const auto& [name, member] : status["members"].items())
+    std::cout << name << '\t' << member.value("zone", "") << '\t' << member.value("place", "") << '\t'
+              << (member.value("reached", false) ? member.value("version", "") : "not reached")
+              << (member.value("serves", false) ? "" : "\tnobody serves")
+              << (member.value("evacuated", false) ? "\tevacuated" : "")
+              << (member.value("order", "").empty() ? "" : "\tordered: " + member.value("order", "")) << '\n';
 }
 
-int lead(control::Controller& controller, bool until_paused, bool as_json) {
+int run_change(control::Controller& controller, bool until_paused, bool as_json) {
   const rollout::Phase phase = controller.run(
       [&](const std::string& line) {
         if (!as_json) std::cout << line << std::endl;
@@ -69,13 +70,13 @@
       until_paused);
   const rollout::Rollout& rollout = controller.rollout();
   const int code = phase == rollout::Phase::complete ? 0
-                   : phase == rollout::Phase::back   ? kWentBack
-                                                     : kOnItsWay;
+                   : phase == rollout::Phase::back   ? kExitRolledBack
+                                                     : kExitUnfinished;
   if (as_json)
     std::cout << json({{"change", rollout.plan().change},
-                       {"outcome", code == 0           ? "complete"
-                                   : code == kWentBack ? "back"
-                                                       : "on its way"},
+                       {"outcome", code == 0                 ? "complete"
+                                   : code == kExitRolledBack ? "back"
+                                                             : "on its way"},
                        {"paused", rollout.paused()},
                        {"reason", rollout.reason()}})
                      .dump()
@@ -83,34 +84,34 @@
   return code;
 }
 
-int print_plan(const config::RolloutPart& part, bool as_json) {
-  const rollout::Plan plan = control::plan_of(part, "plan");
-  if (const std::string wrong = rollout::wrong_with(plan); !wrong.empty())
-    throw std::runtime_error("rollout: " + wrong);
-  json out = {{"stages", plan.stages}, {"bake_ms", plan.bake_ms}, {"members", json::array()}};
-  bool all = true;
-  for (const control::Standing& one : control::ask_all(part, kAskMs)) {
-    all = all && one.reached && one.serves;
-    out["members"].push_back({{"name", one.name},
-                              {"zone", one.zone},
-                              {"reached", one.reached},
-                              {"serves", one.serves},
-                              {"version", one.version},
-                              {"controller", one.controller}});
+int print_plan(const config::RolloutPart& settings, bool as_json) {
+  const rollout::Plan plan = control::plan_of(settings, "plan");
+  if (const std::string error = rollout::plan_error(plan); !error.empty())
+    throw std::runtime_error("rollout: " + error);
+  json plan_json = {{"stages", plan.stages}, {"bake_ms", plan.bake_ms}, {"members", json::array()}};
+  bool all_serving = true;
+  for (const control::Standing& status : control::ask_all(settings, kStatusTimeoutMs)) {
+    all_serving = all_serving && status.reached && status.serving;
+    plan_json["members"].push_back({{"name", status.name},
+                                    {"zone", status.zone},
+                                    {"reached", status.reached},
+                                    {"serves", status.serving},
+                                    {"version", status.version},
+                                    {"controller", status.controller}});
   }
-  out["ready"] = all;
+  plan_json["ready"] = all_serving;
   if (as_json) {
-    std::cout << out.dump(1) << '\n';
+    std::cout << plan_json.dump(1) << '\n';
   } else {
     std::cout << "stages of";
     for (const int stage : plan.stages) std::cout << ' ' << stage;
-    std::cout << " dispatchers, each looked at for " << plan.bake_ms / 1'000 << " s or more\n";
-    for (const auto& one : out["members"])
-      std::cout << one.value("name", "") << '\t' << one.value("zone", "") << '\t'
-                << (one.value("reached", false) ? one.value("version", "") : "not reached") << '\n';
-    if (!all) std::cout << "not all serve now: the change would end at its checks, or wait\n";
+    std::cout << " dispatchers, each observed for " << plan.bake_ms / 1'000 << " s or more\n";
+    for (const auto& member : plan_json["members"])
+      std::cout << member.value("name", "") << '\t' << member.value("zone", "") << '\t'
+                << (member.value("reached", false) ? member.value("version", "") : "not reached") << '\n';
+    if (!all_serving) std::cout << "not all of them serve now: the change would fail its checks, or wait\n";
   }
-  return all ? 0 : kOnItsWay;
+  return all_serving ? 0 : kExitUnfinished;
 }
 
 }  // namespace
@@ -121,18 +122,19 @@
   file.add(arguments.options);
   if (!arguments.read(words, "supervise [options]",
                       "Runs one dispatcher, and changes its program and settings in service.\n"
-                      "SIGTERM ends both in order, SIGUSR1 only the supervisor.",
+                      "SIGTERM shuts both down, SIGUSR1 only the supervisor.",
                       0))
     return 0;
   const config::SupervisePart part = file.load().supervise;
   for (const auto& [key, value] :
        {std::pair{"folder", &part.folder}, {"config", &part.config}, {"control", &part.control}})
-    if (value->empty()) throw std::runtime_error(file.path + ": supervise." + key + ": wanted here");
+    if (value->empty())
+      throw std::runtime_error(file.path + ": supervise." + key + ": required for this command");
   if (part.management.size() != 2)
-    throw std::runtime_error(file.path + ": supervise.management: two addresses wanted");
+    throw std::runtime_error(file.path + ": supervise.management: must have two addresses");
   sigset_t signals;
   sigemptyset(&signals);
-  for (const int one : {SIGTERM, SIGINT, SIGCHLD, SIGUSR1}) sigaddset(&signals, one);
+  for (const int signal : {SIGTERM, SIGINT, SIGCHLD, SIGUSR1}) sigaddset(&signals, signal);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
   const core::Config config = core::load_config(part.config);
@@ -155,59 +157,61 @@
 int rollout_command(const std::vector<std::string>& words) {
   Arguments arguments;
   OperatorOption file;
-  control::Change change;
-  std::string why;
+  control::ChangeRequest request;
+  std::string pause_reason;
   bool as_json = false, until_paused = false;
   file.add(arguments.options);
-  arguments.options.add_options()("program", options::value(&change.program),
+  arguments.options.add_options()("program", options::value(&request.program),
                                   "start: the new program's file")(
-      "settings", options::value(&change.settings), "start: the new operator's file for the dispatchers")(
-      "take-over", options::bool_switch(&change.take_over), "start: also from another controller's hands")(
-      "why", options::value(&why), "pause: and why")("until-paused", options::bool_switch(&until_paused),
-                                                     "start, resume: end where the change pauses")(
+      "settings", options::value(&request.settings), "start: the new operator's file for the dispatchers")(
+      "take-over", options::bool_switch(&request.take_over), "start: even if another controller leads")(
+      "why", options::value(&pause_reason), "pause: the reason")(
+      "until-paused", options::bool_switch(&until_paused), "start, resume: exit when the change pauses")(
       "json", options::bool_switch(&as_json), "JSON instead of text");
   if (!arguments.read(words, "rollout plan | start | status | pause | resume | abort | history [options]",
                       "Changes the program or the settings of all dispatchers, in stages.\n"
-                      "start and resume stay, and lead the change, until it is over.",
+                      "start and resume keep running and lead the change until it has ended.",
                       1))
     return 0;
-  const std::string what = arguments.words.empty() ? "" : arguments.words.front();
+  const std::string command = arguments.words.empty() ? "" : arguments.words.front();
   const config::RolloutPart part = file.load().rollout;
-  if (part.folder.empty()) throw std::runtime_error(file.path + ": rollout.folder: wanted here");
-  if (what == "plan") return print_plan(part, as_json);
-  if (what == "history") {
-    std::cout << control::history_text(part);
+  if (part.folder.empty())
+    throw std::runtime_error(file.path + ": rollout.folder: required for this command");
+  if (command == "plan") return print_plan(part, as_json);
+  if (command == "history") {
+    std::cout << control::read_history(part);
     return 0;
   }
-  if (what == "status") {
-    const std::string said = control::status_text(part);
+  if (command == "status") {
+    const std::string status = control::status_json(part);
     if (as_json)
-      std::cout << said << '\n';
+      std::cout << status << '\n';
     else
-      print_status(json::parse(said));
+      print_status(json::parse(status));
     return 0;
   }
-  if (what == "start") {
-    if (change.program.empty() && change.settings.empty())
-      throw std::runtime_error("rollout start wants --program FILE, --settings FILE, or both");
+  if (command == "start") {
+    if (request.program.empty() && request.settings.empty())
+      throw std::runtime_error("rollout start needs --program FILE, --settings FILE, or both");
     control::Controller controller(part);
-    controller.begin(change);
-    return lead(controller, until_paused, as_json);
+    controller.begin(request);
+    return run_change(controller, until_paused, as_json);
   }
-  if (what != "pause" && what != "resume" && what != "abort")
-    throw std::runtime_error("rollout: plan, start, status, pause, resume, abort or history wanted");
-  if (const auto said = control::tell(part, what == "pause" ? "pause " + why : what)) {
-    std::cout << *said << '\n';
-    return *said == "done" ? 0 : kOnItsWay;
+  if (command != "pause" && command != "resume" && command != "abort")
+    throw std::runtime_error("rollout: plan, start, status, pause, resume, abort or history expected");
+  if (const auto answer =
+          control::send_command(part, command == "pause" ? "pause " + pause_reason : command)) {
+    std::cout << *answer << '\n';
+    return *answer == "done" ? 0 : kExitUnfinished;
   }
-  if (what == "pause") throw std::runtime_error("no controller runs: nothing moves");
+  if (command == "pause") throw std::runtime_error("no controller runs, so there is nothing to pause");
   control::Controller controller(part);
-  if (!controller.has_change()) throw std::runtime_error("there is no change that is not over");
-  if (what == "resume")
+  if (!controller.has_change()) throw std::runtime_error("there is no unfinished change");
+  if (command == "resume")
     controller.resume();
   else
     controller.abort();
-  return lead(controller, until_paused, as_json);
+  return run_change(controller, until_paused, as_json);
 }
 
 }  // namespace woadtide::cli
--- a/src/cli/fleet_commands.hpp
+++ b/src/cli/fleet_commands.hpp
@@ -1,5 +1,5 @@
-// `supervise` runs the parent of one dispatcher; `rollout` leads a change of the whole fleet, or asks about
-// it.
+// The sub-commands `supervise`, which runs the supervisor of one dispatcher, and `rollout`, which leads a
+// change of the whole fleet or reports on it.
 #pragma once
 
 #include <string>
@@ -7,9 +7,10 @@
 
 namespace woadtide::cli {
 
-// The exit code. Both throw std::runtime_error with one line.
+// Both return the exit code and throw std::runtime_error with one line.
+// Runs the supervisor until it has shut down.
 int supervise_command(const std::vector<std::string>& words);
-// 0: done, or complete; 1: the change went back; 3: it is paused, or was left on its way.
+// Exit code 0: done, or the change is complete; 1: the change was rolled back; 3: it is paused or unfinished.
 int rollout_command(const std::vector<std::string>& words);
 
 }  // namespace woadtide::cli
--- a/src/control/assessor.hpp
+++ b/src/control/assessor.hpp
@@ -1,5 +1,6 @@
-// Between what dispatchers did and the rollout: who is compared with whom in which stage, and what the
-// verdict on that means for the change. Knows no socket and no disk; its owner brings samples and a time.
+// Connects the dispatchers' statistics with the rollout: decides who is compared with whom in each stage, and
+// what the verdict means for the rollout. It has no access to sockets or the disk; its owner supplies samples
+// and time.
 #pragma once
 
 #include <map>
@@ -17,34 +18,38 @@
  public:
   explicit Assessor(const config::RolloutPart& part);
 
-  // What was seen of all that could be reached. Those that are not changed yet learn their past by it.
+  // Adds the samples of all dispatchers that were reached. Those that are not changed yet extend their
+  // baseline.
   void look(const std::map<std::string, Sample>& samples, const rollout::Rollout& rollout);
-  // Tells the rollout what the verdict says of its stage, where something new was seen.
+  // Compares the cohorts of the current stage, if there are new samples, and passes the assessment to the
+  // rollout. `now` is in milliseconds.
   void judge(double now, rollout::Rollout& rollout);
-  void begin_again() { verdict_.reset(); }  // after a pause
-  // Stages at which members were moved, from 0; kept by the owner across its lives.
-  std::map<std::string, int>& moved_in() { return moved_in_; }
+  // Starts the comparison of the stage anew, after a pause.
+  void restart_comparison() { verdict_.reset(); }
+  // The stage, from 0, in which each member was moved; stored by the owner between its runs.
+  std::map<std::string, int>& move_stages() { return move_stages_; }
   Cohorts& cohorts() { return cohorts_; }
-  // The verdict's word on the stage so far: empty, or what is worse; and what is least known.
-  std::string worse() const { return verdict_ ? verdict_->reason() : ""; }
-  std::pair<std::string, double> widest() const;
+  // Returns what is worse in the current stage, or an empty string.
+  std::string worse_reason() const { return verdict_ ? verdict_->reason() : ""; }
+  // Returns the measure that is least certain, and its upper confidence bound. See Verdict::least_certain().
+  std::pair<std::string, double> least_certain() const;
 
  private:
-  Cohorts::Sides sides(const rollout::Rollout& rollout) const;
-  std::string worse_than_before(double now, const verdict::Slice& slice, const verdict::Limits& limits);
+  Cohorts::Assignment assign_cohorts(const rollout::Rollout& rollout) const;
+  std::string regression_reason(double now, const verdict::Slice& slice, const verdict::Limits& limits);
 
-  const double margin_, false_stop_, false_go_, look_ms_;
+  const double margin_, false_stop_, false_go_, baseline_ms_;
   Cohorts cohorts_;
-  std::map<std::string, int> moved_in_;
-  std::optional<verdict::Verdict> verdict_, past_verdict_;
-  std::map<std::string, verdict::Verdict> past_by_zone_;
+  std::map<std::string, int> move_stages_;
+  std::optional<verdict::Verdict> verdict_, baseline_verdict_;
+  std::map<std::string, verdict::Verdict> zone_baseline_verdicts_;
   int stage_ = -1;
-  double stage_since_ = 0;
-  bool fresh_look_ = false;
+  double stage_started_at_ = 0;
+  bool has_new_samples_ = false;
 };
 
-// In which order members are changed: those first that are asked much, so that something can be told of them
-// soon, but not the busiest quarter.
+// Sorts members into the order in which they are changed: busy ones first, because the comparison needs
+// queries for an early result, but the busiest quarter last. `asked`: queries per second by member.
 void order_by_traffic(std::vector<config::RolloutPart::Member>& members,
                       const std::map<std::string, double>& asked);
 
--- a/src/control/cohorts.cpp
+++ b/src/control/cohorts.cpp
@@ -13,262 +13,273 @@
 
 namespace {
 
-constexpr std::size_t kMostPast = 600;  // looks of a past that are kept one by one
-constexpr double kFewOwn = 200;         // served queries that make a past of one's own
-constexpr double kUnlike = 1.5;         // standard deviations from the others' share that are still by chance
-constexpr double kSigmas = 2.5;         // of the bounds within which a past is taken to be known
+constexpr std::size_t kMaxIntervals = 600;  // latest intervals of a baseline that are kept
+// Served queries from which a dispatcher's own latency threshold is used.
+constexpr double kMinOwnServed = 200;
+// Standard deviations from the fleet's share that are attributed to chance.
+constexpr double kChanceDeviations = 1.5;
+constexpr double kWilsonZ = 2.5;  // z of the Wilson interval of a baseline share
 
 std::uint64_t sum_of(const std::array<std::uint64_t, core::kBins>& bins) {
   return std::accumulate(bins.begin(), bins.end(), std::uint64_t{0});
 }
 
-void add_to(core::Figures& all, const core::Figures& some) {
-  for (const auto& [name, one] : some) {
-    ClassFigures& sum = all[name];
-    sum.asked += one.asked;
-    sum.served += one.served;
-    sum.refused += one.refused;
-    sum.failed += one.failed;
-    sum.late += one.late;
-    for (std::size_t i = 0; i < core::kBins; ++i) sum.bins[i] += one.bins[i];
+void add_to(core::Figures& total, const core::Figures& added) {
+  for (const auto& [name, figures] : added) {
+    ClassFigures& sum = total[name];
+    sum.asked += figures.asked;
+    sum.served += figures.served;
+    sum.refused += figures.refused;
+    sum.failed += figures.failed;
+    sum.late += figures.late;
+    for (std::size_t i = 0; i < core::kBins; ++i) sum.bins[i] += figures.bins[i];
   }
 }
 
-std::uint64_t asked_of(const core::Figures& figures) {
+std::uint64_t accepted_of(const core::Figures& classes) {
   std::uint64_t sum = 0;
-  for (const auto& [name, one] : figures) sum += one.asked;
+  for (const auto& [name, figures] : classes) sum += figures.asked;
   return sum;
 }
 
 }  // namespace
 
-std::optional<Cohorts::Done> Cohorts::between(const Sample& before, const Sample& now) {
+std::optional<Cohorts::Interval> Cohorts::interval_between(const Sample& before, const Sample& now) {
   if (before.pid != now.pid || now.at_ms <= before.at_ms) return std::nullopt;
-  Done done;
-  done.ms = now.at_ms - before.at_ms;
-  done.memory_mb = now.memory_mb;
-  done.cpu_ms = now.cpu_ms - before.cpu_ms;
-  done.restarts = now.crashes - before.crashes;
-  for (const auto& [name, one] : now.classes) {
+  Interval interval;
+  interval.ms = now.at_ms - before.at_ms;
+  interval.memory_mb = now.memory_mb;
+  interval.cpu_ms = now.cpu_ms - before.cpu_ms;
+  interval.restarts = now.crashes - before.crashes;
+  for (const auto& [name, figures] : now.classes) {
     const auto found = before.classes.find(name);
     const ClassFigures none, &was = found == before.classes.end() ? none : found->second;
-    ClassFigures& some = done.classes[name];
-    some.asked = one.asked - was.asked;
-    some.served = one.served - was.served;
-    some.refused = one.refused - was.refused;
-    some.failed = one.failed - was.failed;
-    some.late = one.late - was.late;
-    for (std::size_t i = 0; i < core::kBins; ++i) some.bins[i] = one.bins[i] - was.bins[i];
+    ClassFigures& counts = interval.classes[name];
+    counts.asked = figures.asked - was.asked;
+    counts.served = figures.served - was.served;
+    counts.refused = figures.refused - was.refused;
+    counts.failed = figures.failed - was.failed;
+    counts.late = figures.late - was.late;
+    for (std::size_t i = 0; i < core::kBins; ++i) counts.bins[i] = figures.bins[i] - was.bins[i];
   }
-  return done;
+  return interval;
 }
 
-void Cohorts::look(const std::map<std::string, Sample>& samples, const std::set<std::string>& learns) {
-  done_.clear();
+void Cohorts::add_samples(const std::map<std::string, Sample>& samples,
+                          const std::set<std::string>& unchanged) {
+  last_intervals_.clear();
   for (const auto& [member, sample] : samples) {
-    const auto was = before_.find(member);
-    if (was == before_.end()) continue;
-    if (const auto done = between(was->second, sample)) {
-      done_[member] = *done;
+    const auto was = last_samples_.find(member);
+    if (was == last_samples_.end()) continue;
+    if (const auto interval = interval_between(was->second, sample)) {
+      last_intervals_[member] = *interval;
     } else if (sample.crashes > was->second.crashes) {
-      // Another process: its counts have no beginning here, but that it had to be started is an event.
-      Done restarted;
+      // A new process: its counts have no known start, but the restart itself is an event.
+      Interval restarted;
       restarted.restarts = sample.crashes - was->second.crashes;
-      done_[member] = restarted;
+      last_intervals_[member] = restarted;
     }
   }
-  before_ = samples;
-  for (const auto& [member, done] : done_) {
-    if (done.ms <= 0 || !learns.contains(member)) continue;
-    Past& past = past_[member];
-    past.ms += done.ms;
-    past.memory_mb += done.memory_mb;
-    past.cpu_ms += done.cpu_ms;
-    past.looks += 1;
-    add_to(past.classes, done.classes);
-    add_to(all_, done.classes);
-    past.each.push_back(done);
-    if (past.each.size() > kMostPast) past.each.pop_front();
+  last_samples_ = samples;
+  for (const auto& [member, interval] : last_intervals_) {
+    if (interval.ms <= 0 || !unchanged.contains(member)) continue;
+    Baseline& baseline = baselines_[member];
+    baseline.ms += interval.ms;
+    baseline.memory_mb += interval.memory_mb;
+    baseline.cpu_ms += interval.cpu_ms;
+    baseline.samples += 1;
+    add_to(baseline.classes, interval.classes);
+    add_to(all_baselines_, interval.classes);
+    baseline.intervals.push_back(interval);
+    if (baseline.intervals.size() > kMaxIntervals) baseline.intervals.pop_front();
   }
-  double looks = 0, cpu = 0;
-  memory_mb_ = 0;
-  for (const auto& [member, past] : past_) {
-    memory_mb_ += past.memory_mb;
-    looks += past.looks;
-    cpu += past.cpu_ms;
+  double sample_count = 0, cpu = 0;
+  mean_memory_mb_ = 0;
+  for (const auto& [member, baseline] : baselines_) {
+    mean_memory_mb_ += baseline.memory_mb;
+    sample_count += baseline.samples;
+    cpu += baseline.cpu_ms;
   }
-  memory_mb_ = looks > 0 ? memory_mb_ / looks : 0;
-  const auto asked = asked_of(all_);
-  cpu_a_query_ = asked > 0 ? cpu / static_cast<double>(asked) : 0;
+  mean_memory_mb_ = sample_count > 0 ? mean_memory_mb_ / sample_count : 0;
+  const auto asked = accepted_of(all_baselines_);
+  cpu_ms_per_query_ = asked > 0 ? cpu / static_cast<double>(asked) : 0;
 }
 
-// The bin over which an answer is slower than `share` of those before; one's own where there were enough.
-std::size_t Cohorts::threshold(const std::string& member, const std::string& name, double share) const {
+// Returns the latency bin above which a query is slower than `share` of those in the baseline: the
+// dispatcher's own if it has served enough, otherwise the fleet's.
+std::size_t Cohorts::slow_bin(const std::string& member, const std::string& class_name, double share) const {
   const ClassFigures* from = nullptr;
-  const auto past = past_.find(member);
-  if (past != past_.end() && past->second.classes.contains(name)) from = &past->second.classes.at(name);
-  if (!from || static_cast<double>(sum_of(from->bins)) < kFewOwn) {
-    const auto all = all_.find(name);
-    if (all == all_.end()) return core::kBins;
+  const auto baseline = baselines_.find(member);
+  if (baseline != baselines_.end() && baseline->second.classes.contains(class_name))
+    from = &baseline->second.classes.at(class_name);
+  if (!from || static_cast<double>(sum_of(from->bins)) < kMinOwnServed) {
+    const auto all = all_baselines_.find(class_name);
+    if (all == all_baselines_.end()) return core::kBins;
     from = &all->second;
   }
-  const double wanted = share * static_cast<double>(sum_of(from->bins));
+  const double required = share * static_cast<double>(sum_of(from->bins));
   double sum = 0;
   for (std::size_t bin = 0; bin < core::kBins; ++bin) {
     sum += static_cast<double>(from->bins[bin]);
-    if (sum >= wanted) return bin;
+    if (sum >= required) return bin;
   }
   return core::kBins;
 }
 
-// One whose past is as the others' counts as they do. One that has differed by more than chance makes likely
-// is measured by its own share, within Wilson's bounds: it may be said to be worse than its past only where
-// it is so by the most that this past allows.
-verdict::Counts::Usual Cohorts::usual(double of, double events, double asked, double all_events,
-                                      double all_asked) {
+// A dispatcher whose baseline matches the fleet's is measured by the fleet's share. One that differed by more
+// than chance explains is measured by its own share with Wilson bounds: it counts as worse than its baseline
+// only if it exceeds the most that this baseline allows.
+verdict::Counts::Expected Cohorts::expected_events(double queries, double events, double asked,
+                                                   double all_events, double all_asked) {
   if (all_asked <= 0) return {};
   const double common = (all_events + 0.5) / (all_asked + 1);
-  const double by_chance = kUnlike * std::sqrt(asked * common * (1 - common)) + 1;
-  if (std::abs(events - asked * common) <= by_chance) return {of * common, of * common, of * common};
-  const double share = events / asked, z = kSigmas;
+  const double chance_deviation = kChanceDeviations * std::sqrt(asked * common * (1 - common)) + 1;
+  if (std::abs(events - asked * common) <= chance_deviation)
+    return {queries * common, queries * common, queries * common};
+  const double share = events / asked, z = kWilsonZ;
   const double middle = (share + z * z / (2 * asked)) / (1 + z * z / asked);
   const double spread =
       z / (1 + z * z / asked) * std::sqrt(share * (1 - share) / asked + z * z / (4 * asked * asked));
-  return {of * std::max(middle - spread, 0.5 / (asked + 1)), of * share, of * (middle + spread)};
+  return {queries * std::max(middle - spread, 0.5 / (asked + 1)), queries * share,
+          queries * (middle + spread)};
 }
 
-void Cohorts::add(verdict::Side& side, const std::string& member, const Done& done) const {
-  const auto past = past_.find(member);
-  side.restarts += done.restarts;
-  if (done.ms <= 0) {  // it had to be started again: of what it did there is nothing to compare
+void Cohorts::add(verdict::CohortStats& side, const std::string& member, const Interval& interval) const {
+  const auto baseline = baselines_.find(member);
+  side.restarts += interval.restarts;
+  if (interval.ms <= 0) {  // it was restarted: there is nothing else to compare
     side.dispatchers += 1;
     return;
   }
-  // By its own past: what is big and busy was so before.
-  double memory = done.memory_mb, cpu = done.cpu_ms;
-  if (past != past_.end() && past->second.looks > 0) {
-    const Past& own = past->second;
-    const double asked = static_cast<double>(asked_of(own.classes));
-    if (own.memory_mb > 0) memory *= memory_mb_ / (own.memory_mb / own.looks);
-    if (own.cpu_ms > 0 && asked > 0) cpu *= cpu_a_query_ / (own.cpu_ms / asked);
-    side.usual_asked += asked / own.ms * done.ms;
+  // Normalised by its own baseline: a dispatcher that is large and busy was so before.
+  double memory = interval.memory_mb, cpu = interval.cpu_ms;
+  if (baseline != baselines_.end() && baseline->second.samples > 0) {
+    const Baseline& own = baseline->second;
+    const double asked = static_cast<double>(accepted_of(own.classes));
+    if (own.memory_mb > 0) memory *= mean_memory_mb_ / (own.memory_mb / own.samples);
+    if (own.cpu_ms > 0 && asked > 0) cpu *= cpu_ms_per_query_ / (own.cpu_ms / asked);
+    side.expected_queries += asked / own.ms * interval.ms;
   }
   side.memory_mb = (side.memory_mb * side.dispatchers + memory) / (side.dispatchers + 1);
   side.cpu_ms += cpu;
   side.dispatchers += 1;
-  for (const auto& [name, one] : done.classes) {
+  for (const auto& [name, figures] : interval.classes) {
     verdict::Counts& counts = side.classes[name];
-    const auto asked = static_cast<double>(one.asked);
-    counts.asked += static_cast<int>(one.asked);
-    counts.refused += static_cast<int>(one.refused);
-    counts.failed += static_cast<int>(one.failed);
-    counts.late += static_cast<int>(one.late);
+    const auto asked = static_cast<double>(figures.asked);
+    counts.asked += static_cast<int>(figures.asked);
+    counts.refused += static_cast<int>(figures.refused);
+    counts.failed += static_cast<int>(figures.failed);
+    counts.late += static_cast<int>(figures.late);
     const core::ClassFigures none;
-    const auto past_of = [&](const core::Figures& figures) -> const ClassFigures& {
-      const auto found = figures.find(name);
-      return found == figures.end() ? none : found->second;
+    const auto class_of = [&](const core::Figures& classes) -> const ClassFigures& {
+      const auto found = classes.find(name);
+      return found == classes.end() ? none : found->second;
     };
-    const ClassFigures &own = past == past_.end() ? none : past_of(past->second.classes),
-                       &all = past_of(all_);
-    const auto add = [](verdict::Counts::Usual& to, const verdict::Counts::Usual& some) {
-      to.least += some.least;
-      to.mean += some.mean;
-      to.most += some.most;
+    const ClassFigures &own = baseline == baselines_.end() ? none : class_of(baseline->second.classes),
+                       &all = class_of(all_baselines_);
+    const auto add = [](verdict::Counts::Expected& to, const verdict::Counts::Expected& added) {
+      to.lower += added.lower;
+      to.mean += added.mean;
+      to.upper += added.upper;
     };
-    const auto usually = [&](std::uint64_t ClassFigures::*what) {
-      return usual(asked, static_cast<double>(own.*what), static_cast<double>(own.asked),
-                   static_cast<double>(all.*what), static_cast<double>(all.asked));
+    const auto expected = [&](std::uint64_t ClassFigures::*what) {
+      return expected_events(asked, static_cast<double>(own.*what), static_cast<double>(own.asked),
+                             static_cast<double>(all.*what), static_cast<double>(all.asked));
     };
-    add(counts.usual_refused, usually(&ClassFigures::refused));
-    add(counts.usual_failed, usually(&ClassFigures::failed));
-    add(counts.usual_late, usually(&ClassFigures::late));
-    for (const auto& [place, share] : {std::pair<std::size_t, double>{0, 0.95}, {1, 0.99}}) {
-      const std::size_t from = threshold(member, name, share) + 1;
-      const auto over = [&](const ClassFigures& figures) {
+    add(counts.expected_refused, expected(&ClassFigures::refused));
+    add(counts.expected_failed, expected(&ClassFigures::failed));
+    add(counts.expected_late, expected(&ClassFigures::late));
+    for (const auto& [index, share] : {std::pair<std::size_t, double>{0, 0.95}, {1, 0.99}}) {
+      const std::size_t from = slow_bin(member, name, share) + 1;
+      const auto slower_than_bin = [&](const ClassFigures& counted) {
         std::uint64_t sum = 0;
-        for (std::size_t bin = from; bin < core::kBins; ++bin) sum += figures.bins[bin];
+        for (std::size_t bin = from; bin < core::kBins; ++bin) sum += counted.bins[bin];
         return static_cast<double>(sum);
       };
-      counts.slow[place] += static_cast<int>(over(one));
-      add(counts.usual_slow[place],
-          usual(asked, over(own), static_cast<double>(own.asked), over(all), static_cast<double>(all.asked)));
+      counts.slow[index] += static_cast<int>(slower_than_bin(figures));
+      add(counts.expected_slow[index],
+          expected_events(asked, slower_than_bin(own), static_cast<double>(own.asked), slower_than_bin(all),
+                          static_cast<double>(all.asked)));
     }
   }
 }
 
-bool Cohorts::tells_times(const Done& done) {
-  return std::none_of(done.classes.begin(), done.classes.end(), [](const auto& item) {
+bool Cohorts::has_latencies(const Interval& interval) {
+  return std::none_of(interval.classes.begin(), interval.classes.end(), [](const auto& item) {
     return item.second.served > 0 && sum_of(item.second.bins) == 0;
   });
 }
 
-void Cohorts::leave_out_times(verdict::Slice& slice) {
+void Cohorts::drop_latencies(verdict::Slice& slice) {
   for (auto& [zone, pair] : slice)
-    for (verdict::Side* side : {&pair.fresh, &pair.old})
+    for (verdict::CohortStats* side : {&pair.fresh, &pair.old})
       for (auto& [name, counts] : side->classes) {
         counts.late = 0;
         counts.slow = {};
       }
 }
 
-verdict::Slice Cohorts::slice(const Sides& sides) const {
+verdict::Slice Cohorts::slice(const Assignment& assignment) const {
   verdict::Slice slice;
-  bool times = true;
-  for (const auto& [member, done] : done_) {
-    const auto found = sides.find(member);
-    const Cohort cohort = found == sides.end() ? Cohort::none : found->second;
+  bool latencies = true;
+  for (const auto& [member, interval] : last_intervals_) {
+    const auto found = assignment.find(member);
+    const Cohort cohort = found == assignment.end() ? Cohort::none : found->second;
     if (cohort == Cohort::none) continue;
     verdict::Pair& pair = slice[zones_.at(member)];
-    add(cohort == Cohort::fresh ? pair.fresh : pair.old, member, done);
-    times = times && tells_times(done);
+    add(cohort == Cohort::changed ? pair.fresh : pair.old, member, interval);
+    latencies = latencies && has_latencies(interval);
   }
-  if (!times) leave_out_times(slice);
+  if (!latencies) drop_latencies(slice);
   return slice;
 }
 
-verdict::Slice Cohorts::against_past(const Sides& sides) {
+verdict::Slice Cohorts::slice_against_baseline(const Assignment& assignment) {
   verdict::Slice slice;
-  bool times = true;
-  turn_ += 1;
-  for (const auto& [member, done] : done_) {
-    const auto found = sides.find(member);
-    const auto past = past_.find(member);
-    if (found == sides.end() || found->second != Cohort::fresh || past == past_.end()) continue;
-    if (past->second.each.empty()) continue;
+  bool latencies = true;
+  baseline_slices_ += 1;
+  for (const auto& [member, interval] : last_intervals_) {
+    const auto found = assignment.find(member);
+    const auto baseline = baselines_.find(member);
+    if (found == assignment.end() || found->second != Cohort::changed || baseline == baselines_.end())
+      continue;
+    if (baseline->second.intervals.empty()) continue;
     verdict::Pair& pair = slice[zones_.at(member)];
-    add(pair.fresh, member, done);
-    add(pair.old, member, past->second.each[turn_ % past->second.each.size()]);
-    times = times && tells_times(done) && tells_times(past->second.each[turn_ % past->second.each.size()]);
+    add(pair.fresh, member, interval);
+    add(pair.old, member, baseline->second.intervals[baseline_slices_ % baseline->second.intervals.size()]);
+    latencies =
+        latencies && has_latencies(interval) &&
+        has_latencies(baseline->second.intervals[baseline_slices_ % baseline->second.intervals.size()]);
   }
-  if (!times) leave_out_times(slice);
+  if (!latencies) drop_latencies(slice);
   return slice;
 }
 
-std::string Cohorts::text() const {
+std::string Cohorts::serialize_baselines() const {
   json members = json::object();
-  for (const auto& [member, past] : past_)
-    members[member] = {{"ms", past.ms},
-                       {"memory_mb", past.memory_mb},
-                       {"cpu_ms", past.cpu_ms},
-                       {"looks", past.looks},
-                       {"classes", core::text_of(past.classes)}};
+  for (const auto& [member, baseline] : baselines_)
+    members[member] = {{"ms", baseline.ms},
+                       {"memory_mb", baseline.memory_mb},
+                       {"cpu_ms", baseline.cpu_ms},
+                       {"looks", baseline.samples},
+                       {"classes", core::text_of(baseline.classes)}};
   return members.dump();
 }
 
-void Cohorts::remember(const std::string& text) {
+void Cohorts::restore_baselines(const std::string& text) {
   try {
     const json members = json::parse(text);
-    for (const auto& [member, one] : members.items()) {
-      Past& past = past_[member];
-      past.ms = one.at("ms");
-      past.memory_mb = one.at("memory_mb");
-      past.cpu_ms = one.at("cpu_ms");
-      past.looks = one.at("looks");
-      past.classes = core::read_figures(one.at("classes"));
-      add_to(all_, past.classes);
+    for (const auto& [member, fields] : members.items()) {
+      Baseline& baseline = baselines_[member];
+      baseline.ms = fields.at("ms");
+      baseline.memory_mb = fields.at("memory_mb");
+      baseline.cpu_ms = fields.at("cpu_ms");
+      baseline.samples = fields.at("looks");
+      baseline.classes = core::read_figures(fields.at("classes"));
+      add_to(all_baselines_, baseline.classes);
     }
-  } catch (const json::exception& wrong) {
-    throw std::runtime_error(std::string("no past of dispatchers: ") + wrong.what());
+  } catch (const json::exception& error) {
+    throw std::runtime_error(std::string("malformed baselines of dispatchers: ") + error.what());
   }
 }
 
--- a/src/control/cohorts.hpp
+++ b/src/control/cohorts.hpp
@@ -1,5 +1,6 @@
-// From samples of dispatchers' figures to what the verdict compares: what each did between two looks, laid to
-// the changed or the unchanged ones of its zone, each measured by its own past. Knows no socket and no disk.
+// Turns samples of dispatchers' statistics into the slices that the verdict compares: what each dispatcher
+// did between two samples, assigned to the changed or the unchanged cohort of its zone and normalised by its
+// own baseline. It has no access to sockets or the disk.
 #pragma once
 
 #include <deque>
@@ -14,63 +15,69 @@
 
 namespace woadtide::control {
 
-// A look at one dispatcher; counts run from the start of its process.
+// Statistics of one dispatcher at one time. Counts run from the start of its process.
 struct Sample {
   double at_ms = 0;
-  int pid = 0;      // another one: the counts began anew
-  int crashes = 0;  // ends that nobody ordered, in all
+  int pid = 0;      // a different one: the counts started again
+  int crashes = 0;  // unplanned process ends, in total
   double memory_mb = 0, cpu_ms = 0;
   core::Figures classes;
 };
 
-enum class Cohort { none, fresh, old };
+// The cohort of a dispatcher: `changed` runs the new version, `reference` is what it is compared with.
+enum class Cohort { none, changed, reference };
 
 class Cohorts {
  public:
+  // `zones`: the zone of each dispatcher, by name.
   explicit Cohorts(std::map<std::string, std::string> zones) : zones_(std::move(zones)) {}
 
-  // What one does before it is changed is its past: those in `learns`.
-  void look(const std::map<std::string, Sample>& samples, const std::set<std::string>& learns);
-  // What was done since the look before, by those that were seen both times in the same life.
-  using Sides = std::map<std::string, Cohort>;
-  verdict::Slice slice(const Sides& sides) const;
-  // The same with the past of the fresh ones in the old ones' place, slice by slice: for a change that has
-  // left nobody to compare with.
-  verdict::Slice against_past(const Sides& sides);
-  // The past, for the next life of the controller; slices of it are not kept. Throws std::runtime_error.
-  std::string text() const;
-  void remember(const std::string& text);
+  // Adds the next samples. For the dispatchers in `unchanged` they also extend the baseline.
+  void add_samples(const std::map<std::string, Sample>& samples, const std::set<std::string>& unchanged);
+  // Returns what happened since the previous samples, for dispatchers sampled both times in the same process.
+  using Assignment = std::map<std::string, Cohort>;
+  verdict::Slice slice(const Assignment& assignment) const;
+  // The same, but with the baselines of the changed dispatchers in place of the reference cohort, one
+  // interval per call: for a stage that leaves no dispatcher to compare with.
+  verdict::Slice slice_against_baseline(const Assignment& assignment);
+  // The baselines as JSON, for the next run of the controller; their single intervals are not included.
+  std::string serialize_baselines() const;
+  // Throws std::runtime_error if the text is malformed.
+  void restore_baselines(const std::string& text);
 
  private:
-  struct Done {  // between two looks
+  // What a dispatcher did between two samples.
+  struct Interval {
     double ms = 0, memory_mb = 0, cpu_ms = 0;
     int restarts = 0;
     core::Figures classes;
   };
-  struct Past {
-    double ms = 0, memory_mb = 0, cpu_ms = 0;  // memory: sum over looks
-    int looks = 0;
+  // What a dispatcher did before it was changed.
+  struct Baseline {
+    double ms = 0, memory_mb = 0, cpu_ms = 0;  // memory_mb: sum over samples
+    int samples = 0;
     core::Figures classes;
-    std::deque<Done> each;
+    std::deque<Interval> intervals;  // the latest
   };
-  void add(verdict::Side& side, const std::string& member, const Done& done) const;
-  std::size_t threshold(const std::string& member, const std::string& name, double share) const;
-  // How many of `of` queries would have been so, where `events` of `asked` were before, and `all_events` of
-  // `all_asked` at all dispatchers.
-  static verdict::Counts::Usual usual(double of, double events, double asked, double all_events,
-                                      double all_asked);
-  // Where one tells no times, as an older program, nobody is compared by them.
-  static void leave_out_times(verdict::Slice& slice);
-  static bool tells_times(const Done& done);
-  static std::optional<Done> between(const Sample& before, const Sample& now);
+  void add(verdict::CohortStats& side, const std::string& member, const Interval& interval) const;
+  std::size_t slow_bin(const std::string& member, const std::string& class_name, double share) const;
+  // Returns how many of `queries` queries would have had an event, given `events` of `asked` in the
+  // dispatcher's baseline and `all_events` of `all_asked` in the baselines of all dispatchers.
+  static verdict::Counts::Expected expected_events(double queries, double events, double asked,
+                                                   double all_events, double all_asked);
+  // Removes late and slow counts: if one dispatcher reports no latencies, as older versions do, none are
+  // compared.
+  static void drop_latencies(verdict::Slice& slice);
+  static bool has_latencies(const Interval& interval);
+  static std::optional<Interval> interval_between(const Sample& before, const Sample& now);
 
   const std::map<std::string, std::string> zones_;
-  std::map<std::string, Sample> before_;
-  std::map<std::string, Done> done_;
-  std::map<std::string, Past> past_;
-  core::Figures all_;  // of the past, all dispatchers together
-  double memory_mb_ = 0, cpu_a_query_ = 0;
-  std::size_t turn_ = 0;
+  std::map<std::string, Sample> last_samples_;
+  std::map<std::string, Interval> last_intervals_;
+  std::map<std::string, Baseline> baselines_;
+  core::Figures all_baselines_;  // sum over all dispatchers
+  double mean_memory_mb_ = 0, cpu_ms_per_query_ = 0;
+  std::size_t baseline_slices_ = 0;  // number of calls to slice_against_baseline()
 };
 
 }  // namespace woadtide::control
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -1,6 +1,6 @@
-// The process that leads one change through the fleet: it asks all supervisors how they stand, gives the
-// rollout core's orders, lays what the dispatchers did before the verdict, and keeps its state on the disk
-// before each step. One at a time in a folder; whoever asks it meanwhile does so over a socket in there.
+// The process that leads one change through the fleet: it queries all supervisors, sends the orders of the
+// rollout state machine, feeds the dispatchers' statistics to the comparison, and stores its state before
+// each step. One controller runs per folder; others reach it over a Unix socket in that folder.
 #pragma once
 
 #include <functional>
@@ -14,34 +14,39 @@
 
 namespace woadtide::control {
 
-struct Change {
-  std::string program, settings;  // empty: what each runs
-  bool take_over = false;         // from another controller
+// What a rollout changes.
+struct ChangeRequest {
+  std::string program, settings;  // paths of the new files; empty: unchanged
+  bool take_over = false;         // even if another controller leads
 };
 
-// What a supervisor says of itself.
+// The status that a supervisor reports. `reached` is false if it did not answer.
 struct Standing {
   std::string name, zone, control;
-  bool reached = false, serves = false, evacuated = false;
-  std::string version, wanted, good, candidate, before, controller, change, progress, why, fell_back;
-  std::uint64_t newest = 0;
+  bool reached = false, serving = false, evacuated = false;
+  std::string version, desired, last_good, candidate, previous, controller, change, progress, failure_reason,
+      fallback_reason;
+  std::uint64_t last_order_number = 0;
   int crashes = 0;
 };
-std::vector<Standing> ask_all(const config::RolloutPart& part, double within_ms);
+// Asks all supervisors for their status, concurrently, for at most `within_ms`.
+std::vector<Standing> ask_all(const config::RolloutPart& settings, double within_ms);
 
 class Controller {
  public:
-  // Takes the folder. Throws std::runtime_error where another one has it.
-  explicit Controller(const config::RolloutPart& part);
+  // Locks the folder and restores its state. Throws std::runtime_error if another controller has the lock.
+  explicit Controller(const config::RolloutPart& settings);
   ~Controller();
 
-  bool has_change() const;  // one that is not over
-  // Throws std::runtime_error where one is not over yet, or the plan is wrong. Written down when it returns.
-  void begin(const Change& change);
-  // Goes on, from where it is, to its end; or until it is paused, or SIGTERM. `said`: each line of what
-  // happens.
-  using Say = std::function<void(const std::string&)>;
-  rollout::Phase run(const Say& said, bool until_paused);
+  // Returns true if there is a change that has not ended.
+  bool has_change() const;
+  // Starts a new change and stores it. Throws std::runtime_error if a change has not ended or the plan is
+  // invalid.
+  void begin(const ChangeRequest& request);
+  // Runs the change until it ends or a SIGTERM arrives, or, with `until_paused`, until it pauses. Calls
+  // `on_progress` with a line of text for each event. Returns the phase that was reached.
+  using ProgressCallback = std::function<void(const std::string&)>;
+  rollout::Phase run(const ProgressCallback& on_progress, bool until_paused);
   void resume();
   void abort();
   const rollout::Rollout& rollout() const;
@@ -51,13 +56,15 @@
   std::unique_ptr<State> state_;
 };
 
-// What the folder tells without a controller, and what one that runs answers. JSON texts.
-std::string status_text(const config::RolloutPart& part);
-std::string history_text(const config::RolloutPart& part);
-// One word to the controller that runs: its answer, nothing where none runs.
-std::optional<std::string> tell(const config::RolloutPart& part, const std::string& word);
+// Returns the status as JSON: from the running controller, or from the folder and the supervisors if none
+// runs.
+std::string status_json(const config::RolloutPart& settings);
+// Returns the history, one JSON object per line.
+std::string read_history(const config::RolloutPart& settings);
+// Sends one command to the running controller. Returns its answer, or nothing if none runs.
+std::optional<std::string> send_command(const config::RolloutPart& settings, const std::string& command);
 
-// Stages of so many members, where the file names none: one, a quarter, all.
-rollout::Plan plan_of(const config::RolloutPart& part, const std::string& change);
+// Returns the plan for the settings. If they name no stages: one member, a quarter, all.
+rollout::Plan plan_of(const config::RolloutPart& settings, const std::string& change);
 
 }  // namespace woadtide::control
--- a/src/rollout/rollout.hpp
+++ b/src/rollout/rollout.hpp
@@ -1,6 +1,7 @@
-// A change of program or settings on its way through the fleet: who is on what, what is next, and what to do
-// when a stage does worse. Events and a time in, orders out. It knows no process, no socket and no disk; its
-// whole state goes into a text and comes back from it. Invariants are in README.md.
+// State machine of a staged rollout: which dispatcher runs which version, which orders come next, and what
+// happens when a stage performs worse. Input is events with a timestamp, output is orders. It has no access
+// to processes, sockets or the disk; its whole state can be serialized and restored. Invariants: README.md.
+// All times are in milliseconds on the caller's clock.
 #pragma once
 
 #include <algorithm>
@@ -12,108 +13,129 @@
 
 namespace woadtide::rollout {
 
+// A dispatcher that takes part in the rollout.
 struct Member {
   std::string name, zone;
 };
 
+// The parameters of one rollout, fixed when it begins.
 struct Plan {
-  std::string change;  // its name, the same as long as it lives
+  std::string change;  // identifies the rollout for its whole life
   std::vector<Member> members;
-  std::vector<int> stages;       // how many have the new version after each; the last one: all
-  double look_ms = 0;            // from its begin until the first is moved: how all do before is learnt in it
-  double bake_ms = 60'000;       // how long a stage is looked at, at least
-  double patience_ms = 600'000;  // and at most, before the change pauses with `cannot tell`
-  double step_ms = 30'000;       // an order that has not been answered by then is given again
-  int tries = 3;                 // of an order, before it has failed
+  std::vector<int> stages;  // cumulative number of changed members per stage; the last is all of them
+  double baseline_ms = 0;   // before the first move; the members' usual behaviour is recorded in it
+  double bake_ms = 60'000;  // minimum observation time of a stage
+  double stage_timeout_ms = 600'000;  // after this without a verdict the rollout pauses
+  double order_timeout_ms = 30'000;   // an unanswered order is repeated after this
+  int max_attempts = 3;               // attempts per order before it counts as failed
 };
-// What is wrong with it, in one line; empty: nothing.
-std::string wrong_with(const Plan& plan);
+// Returns what is invalid in the plan, in one line, or an empty string.
+std::string plan_error(const Plan& plan);
 
-// Where a member stands. on_old and on_new are what it runs; moving and returning have an order out.
-enum class Place { unchecked, on_old, moving, on_new, returning, left };  // left: could not go back, kept out
+// State of a member. on_old and on_new say which version it runs; moving and returning mean that an order is
+// outstanding; kept_out means that it could not go back to the old version and was evacuated. States are
+// stored by their position.
+enum class MemberState { unchecked, on_old, moving, on_new, returning, kept_out };
+// Phase of the rollout, stored by its position. `complete` and `back` are final.
 enum class Phase { checking, moving, baking, going_back, complete, back };
 
+// An instruction to a member's supervisor. Orders are idempotent.
 struct Order {
+  // Named as on the wire; stored by position.
   enum class Kind { check, move, go_back, keep_out } kind = Kind::check;
   std::string member;
-  // Grows with each order. Who carries one out refuses those below the newest that it has heard of: what was
-  // held up on its way, or comes from an earlier life of the controller, must not undo what came after.
+  // Increases with each order. A supervisor refuses orders with a number below the highest that it has
+  // received: one that was delayed, or was sent before the controller restarted, must not undo a later one.
   std::uint64_t number = 0;
   bool operator==(const Order&) const = default;
 };
 
+// Assessment of the current stage by the statistical comparison.
 enum class Word { not_worse, worse, cannot_tell };
 
 class Rollout {
  public:
-  // Throws std::invalid_argument, with wrong_with().
+  // Throws std::invalid_argument with the text of plan_error() if the plan is invalid.
   explicit Rollout(Plan plan);
-  // From text(). Throws std::invalid_argument where it is none, or of a version that this one does not read.
-  static Rollout from(const std::string& text);
+  // Restores the state from text(). Throws std::invalid_argument if the text is malformed or of another
+  // version.
+  static Rollout parse(const std::string& text);
+  // Returns the complete state as JSON.
   std::string text() const;
 
-  // Each returns the orders that are new. Whoever carries them out writes text() down before.
+  // Events. Each returns the new orders; the caller must store text() before it sends them.
+
+  // Time has passed: repeats unanswered orders and takes the next steps.
   std::vector<Order> tick(double now);
-  // An order's answer. One that nobody waits for any more changes nothing.
+  // The result of an order. `why` is the error if `done` is false. A result for an order that is no longer
+  // outstanding is ignored.
   std::vector<Order> answered(double now, const Order& order, bool done, const std::string& why);
-  // What a member was found to run, asked by itself; it may have been killed, or come back with the old
-  // version.
+  // The observed status of a member: it may have crashed, or restarted with the other version.
   std::vector<Order> found(double now, const std::string& member, bool alive, bool runs_new);
+  // The assessment of the current stage; `why` explains `worse`.
   std::vector<Order> judged(double now, Word word, const std::string& why);
+  // A member's supervisor has left the new version on its own; rolls back as for `worse`.
+  std::vector<Order> on_fallback(double now, const std::string& member, const std::string& why);
+
+  // Operator commands. A pause has no effect on a rollback.
   void pause(const std::string& why);
-  // A member has left the new version by itself: a word on the change as a verdict's is.
-  std::vector<Order> fell_back(double now, const std::string& member, const std::string& why);
-  // Orders have gone out up to this number, from a life of which nothing else is known.
-  void raise(std::uint64_t number) { numbers_ = std::max(numbers_, number); }
-  std::uint64_t newest() const { return numbers_; }
   std::vector<Order> resume(double now);
   std::vector<Order> abort(double now);
-  // After a start from text(): all that was ordered and not answered. Orders may be carried out twice.
+
+  // Makes sure that new orders get numbers above `number`, which a supervisor has received from an earlier
+  // state of the controller that is lost.
+  void raise_order_number(std::uint64_t number) { last_order_number_ = std::max(last_order_number_, number); }
+  // Returns the number of the latest order.
+  std::uint64_t last_order_number() const { return last_order_number_; }
+  // Returns all orders without a result. To be sent again after parse(); orders are idempotent.
   std::vector<Order> outstanding() const;
 
   Phase phase() const { return phase_; }
+  // Returns true if the phase is final.
   bool over() const { return phase_ == Phase::complete || phase_ == Phase::back; }
-  // Why it waits; empty where it does not.
-  const std::string& paused() const { return paused_; }
-  // Why it goes back, or went.
-  const std::string& reason() const { return reason_; }
+  // Returns why the rollout is paused, or an empty string if it is not.
+  const std::string& paused() const { return pause_reason_; }
+  // Returns why the rollout goes back or went back, or an empty string.
+  const std::string& reason() const { return rollback_reason_; }
+  // Returns the index of the current stage, from 0.
   int stage() const { return stage_; }
   const Plan& plan() const { return plan_; }
-  // The order that a member has out.
+  // Returns the outstanding order of a member, if there is one.
   std::optional<Order> out(const std::string& member) const;
-  Place place(const std::string& member) const { return members_.at(member).place; }
-  // New or on the way to it, and how many may be by the stage.
+  MemberState member_state(const std::string& member) const { return members_.at(member).state; }
+  // Returns how many members are on the new version, or may be because an order is outstanding.
   int on_new() const;
-  int allowed() const;
+  // Returns how many members the current stage allows on the new version.
+  int allowed_on_new() const;
 
  private:
-  struct State {
+  struct MemberProgress {
     std::string zone;
-    Place place = Place::unchecked;
+    MemberState state = MemberState::unchecked;
     bool alive = true;
-    std::optional<Order::Kind> order;
-    std::uint64_t number = 0;
+    std::optional<Order::Kind> order;  // outstanding
+    std::uint64_t number = 0;          // of that order
     double ordered_at = 0;
-    int tries = 0;
+    int attempts = 0;
   };
   Rollout() = default;
 
-  std::vector<Order> next(double now);
-  void give(double now, const std::string& member, Order::Kind kind, std::vector<Order>& orders);
-  void turn_back(const std::string& why);
-  bool may_leave(const std::string& zone) const;
-  std::string next_member() const;
-  std::string waited_for() const;
-  void order_failed(const std::string& member, Order::Kind kind, const std::string& why);
+  std::vector<Order> next_orders(double now);
+  void issue_order(double now, const std::string& member, Order::Kind kind, std::vector<Order>& orders);
+  void roll_back(const std::string& why);
+  bool may_leave_service(const std::string& zone) const;
+  std::string next_member_to_move() const;
+  std::string incomplete_stage_reason() const;
+  void handle_order_failure(const std::string& member, Order::Kind kind, const std::string& why);
 
   Plan plan_;
-  std::map<std::string, State> members_;
+  std::map<std::string, MemberProgress> members_;
   Phase phase_ = Phase::checking;
   int stage_ = 0;
-  std::uint64_t numbers_ = 0;
-  double began_ = 0;  // its first tick
-  double since_ = 0;  // of the phase, in this stage
-  std::string paused_, reason_;
+  std::uint64_t last_order_number_ = 0;
+  double first_tick_at_ = 0;
+  double phase_started_at_ = 0;  // within the current stage
+  std::string pause_reason_, rollback_reason_;
 };
 
 }  // namespace woadtide::rollout
--- a/src/verdict/verdict.hpp
+++ b/src/verdict/verdict.hpp
@@ -1,5 +1,6 @@
-// Which of two cohorts of dispatchers does worse, from counts of the same seconds. Events in, an outcome out:
-// it knows no process, no socket and no disk, and has no clock. Invariants are in README.md.
+// Sequential comparison of two cohorts of dispatchers by counts from the same seconds. Input is slices of
+// counts, output is an outcome; it has no access to processes, sockets or the disk, and no clock. Invariants:
+// README.md.
 #pragma once
 
 #include <array>
@@ -11,47 +12,51 @@
 
 namespace woadtide::verdict {
 
-// Of one class in one slice of time, at all dispatchers of a cohort.
+// Counts of one class in one slice, summed over all dispatchers of a cohort.
 struct Counts {
   int asked = 0, refused = 0, failed = 0;
-  int late = 0;                  // served, but behind the class's wanted time
-  std::array<int, 2> slow = {};  // over the p95 and p99 that were usual in this class before the change
-  // How many of each those queries would have drawn by their dispatchers' own past, and between which bounds
-  // that is known: one that always refuses more is not made worse by its version. 0: all dispatchers count
-  // alike.
-  struct Usual {
-    double least = 0, mean = 0, most = 0;
+  int late = 0;                  // served, but after the class's target time
+  std::array<int, 2> slow = {};  // slower than the usual p95 and p99 of the class before the change
+  // How many of these events the same queries would have caused by their dispatchers' own baseline, with the
+  // bounds within which that is known: a dispatcher that always refuses more is not made worse by its
+  // version. 0: no baseline, all dispatchers are expected to behave alike.
+  struct Expected {
+    double lower = 0, mean = 0, upper = 0;
   };
-  Usual usual_refused = {}, usual_failed = {}, usual_late = {};
-  std::array<Usual, 2> usual_slow = {};
+  Expected expected_refused = {}, expected_failed = {}, expected_late = {};
+  std::array<Expected, 2> expected_slow = {};
 };
 
-struct Side {
+// What the dispatchers of one cohort in one zone did during a slice.
+struct CohortStats {
   int dispatchers = 0;
-  double usual_asked = 0;  // in such a slice, by their own past; 0: not known
+  double expected_queries = 0;  // in such a slice, by their own baseline; 0: unknown
   std::map<std::string, Counts> classes;
-  int restarts = 0;      // that nobody ordered
-  double memory_mb = 0;  // mean of its dispatchers; 0: not told
-  double cpu_ms = 0;     // spent in the slice, all of them; 0: not told
+  int restarts = 0;      // unplanned
+  double memory_mb = 0;  // mean per dispatcher; 0: unknown
+  double cpu_ms = 0;     // used in the slice by all of them; 0: unknown
 };
 
-// What both cohorts did in the same stretch of time, in one zone: a zone that is lost hits those in it.
+// What both cohorts did in the same interval in one zone. Zones are compared separately because the loss of a
+// zone affects only the dispatchers in it.
 struct Pair {
-  Side fresh, old;
+  // fresh: dispatchers on the new version; old: those they are compared with.
+  CohortStats fresh, old;
 };
 using Slice = std::map<std::string, Pair>;  // by zone
 
 struct Limits {
   double false_stop =
-      0.01;  // chance that equal cohorts are ever called worse, however long and often one looks
-  double false_go = 0.05;      // chance that one worse by more than `margin` is ever called not worse
-  double margin = 0.02;        // in shares of queries: failed, refused, late or slow
-  double memory_ratio = 1.3;   // over the old cohort's, in `spell` slices in a row
-  double memory_slack_mb = 4;  // and by more than this
-  double cpu_ratio = 1.5;      // a query, the same
-  // A side that is asked so many times what it usually is says nothing of the change in that slice.
-  double surge = 1.5;
-  int spell = 5;
+      0.01;  // probability that equal cohorts are ever called worse, however often it is checked
+  double false_go = 0.05;         // probability that one worse by more than `margin` is ever called not worse
+  double margin = 0.02;           // as a share of queries: failed, refused, late or slow
+  double max_memory_ratio = 1.3;  // to the reference cohort's, in `consecutive_slices` slices
+  double memory_slack_mb = 4;     // and at least this much more
+  double max_cpu_ratio = 1.5;     // per query, likewise
+  // A slice in which a side receives this many times its usual queries is not compared: it says nothing about
+  // the change.
+  double surge_factor = 1.5;
+  int consecutive_slices = 5;
 };
 
 enum class Outcome { cannot_tell, worse, not_worse };
@@ -60,49 +65,56 @@
  public:
   explicit Verdict(Limits limits = {}) : limits_(limits) {}
 
+  // Adds the counts of the next slice.
   void add(const Slice& slice);
-  // `cannot_tell` is no good news: who waits for not_worse waits on, and who has waited long enough stops.
+  // The outcome so far. `cannot_tell` must not be taken for success: the caller waits, and stops after its
+  // timeout.
   Outcome outcome() const;
-  // What was found worse, in words: measure, class, shares on both sides. Empty before.
+  // What was found worse: measure, class and the shares of both sides. Empty unless the outcome is `worse`.
   const std::string& reason() const { return reason_; }
-  // The measure of which least is known, and by how much the new cohort may be worse in it; for status.
-  std::pair<std::string, double> widest() const;
+  // Returns the measure with the largest upper confidence bound, and that bound: by how much the new cohort
+  // may be worse in it. For status output.
+  std::pair<std::string, double> least_certain() const;
 
  private:
-  // Whether events fall on the fresh side more often than its part of the exposure says: a mixture of
-  // likelihood ratios, which is a martingale while they do not, and so may be looked at after every event.
-  struct Excess {
-    std::array<double, 12> logs = {};  // by odds, of slices weighed and in full; see verdict.cpp
-    double fresh = 0, all = 0, expected = 0;
-    double usual = 0;  // events of a slice
-    void add(int fresh_events, int old_events, double part);
+  // Tests whether events fall on the changed side more often than its share of the exposure: a mixture of
+  // likelihood ratios, which is a martingale while they do not, and can therefore be checked after every
+  // event.
+  struct ExcessTest {
+    std::array<double, 12> log_ratios =
+        {};  // by odds ratio, of weighted slices and of unweighted ones; see verdict.cpp
+    double changed_events = 0, total_events = 0, expected_changed_events = 0;
+    double usual_events = 0;  // in a slice
+    void add(int changed_count, int reference_count, double share);
     double log_evidence() const;
   };
-  // A confidence sequence for the mean difference of shares, by empirical Bernstein bounds.
-  struct Difference {
-    double n = 0, sum = 0, squares = 0, weights = 0, weighted = 0, spread = 0;
-    int fresh_asked = 0, old_asked = 0;  // gathered for the next point
-    double fresh_events = 0, old_events = 0;
-    void add(double alpha, int fresh_of, double fresh, int old_of, double old);
+  // Confidence sequence for the mean difference of shares, from empirical Bernstein bounds.
+  struct DifferenceBound {
+    double n = 0, sum = 0, squares = 0, weights = 0, weighted_sum = 0, spread = 0;
+    int changed_queries = 0, reference_queries = 0;  // collected for the next sample
+    double changed_events = 0, reference_events = 0;
+    void add(double alpha, int changed_count, double changed_excess, int reference_count,
+             double reference_excess);
     double upper(double alpha) const;
   };
   struct Measure {
-    Excess excess;
-    Difference difference;
+    ExcessTest excess;
+    DifferenceBound difference;
   };
 
   struct Events {
-    int of = 0, events = 0;
-    Counts::Usual usual = {};
+    int queries = 0, events = 0;
+    Counts::Expected expected = {};
   };
-  void note(const std::string& name, double part, const Events& fresh, const Events& old, bool shares);
-  void compare(const Pair& pair);
-  void look_at_costs(const Slice& slice);
-  double alpha() const;
+  void add_events(const std::string& name, double share, const Events& changed, const Events& reference,
+                  bool compares_shares);
+  void compare_counts(const Pair& pair);
+  void compare_resources(const Slice& slice);
+  double alpha_per_measure() const;
 
   const Limits limits_;
-  std::map<std::string, Measure> measures_;  // "failed of refund-payout"
-  int heavy_ = 0, costly_ = 0;               // slices in a row
+  std::map<std::string, Measure> measures_;           // by name, such as "failed of refund-payout"
+  int high_memory_slices_ = 0, high_cpu_slices_ = 0;  // in a row
   std::string reason_;
 };
 
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,4 +1,5 @@
-// The core of a change of the fleet, against a small world in which anything may be lost, repeated or killed.
+// Tests of the rollout state machine: scripted cases, and a simulated fleet in which messages are lost or
+// repeated and processes are killed.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "rollout/rollout.hpp"
 
@@ -21,231 +22,239 @@
     plan.members.push_back({"n" + std::to_string(i), "z" + std::to_string(i % zones)});
   plan.stages = std::move(stages);
   plan.bake_ms = 1'000;
-  plan.patience_ms = 10'000;
-  plan.step_ms = 500;
+  plan.stage_timeout_ms = 10'000;
+  plan.order_timeout_ms = 500;
   return plan;
 }
 
-// What really runs. Orders are carried out when the test says so, perhaps twice, perhaps by an earlier life
-// of the controller.
-struct World {
-  explicit World(Plan plan) : rollout(plan), members(plan.members) {
+// The simulated fleet. Orders are executed when the test says so: possibly twice, possibly by order of an
+// earlier run of the controller.
+struct SimulatedFleet {
+  explicit SimulatedFleet(Plan plan) : rollout(plan), members(plan.members) {
     for (const Member& member : plan.members) runs_new[member.name] = false;
   }
-  void take(const std::vector<Order>& orders) {
-    for (const Order& order : orders) todo.push_back(order);
-    check();
+  void enqueue(const std::vector<Order>& orders) {
+    for (const Order& order : orders) pending_orders.push_back(order);
+    check_limits();
   }
-  void carry_out(const Order& order, bool done, bool tells) {
+  void execute(const Order& order, bool done, bool reply_arrives) {
     if (kept_out.contains(order.member)) return;
-    if (order.number < std::exchange(newest[order.member], std::max(newest[order.member], order.number)))
+    if (order.number <
+        std::exchange(highest_received[order.member], std::max(highest_received[order.member], order.number)))
       return;
     if (done && order.kind == Kind::move) runs_new[order.member] = true;
     if (done && order.kind == Kind::go_back) runs_new[order.member] = false;
     if (done && order.kind == Kind::keep_out) kept_out.insert(order.member);
-    if (tells)
-      take(rollout.answered(now, order, done, "it says no"));
+    if (reply_arrives)
+      enqueue(rollout.answered(now, order, done, "refused"));
     else
-      held_up.push_back({order, done});
+      delayed_results.push_back({order, done});
   }
-  // Killed and started again: what is not in the text is gone.
+  // The controller is killed and restarted: what was not serialized is lost.
   void crash() {
-    rollout = Rollout::from(rollout.text());
-    todo.clear();
-    take(rollout.outstanding());
+    rollout = Rollout::parse(rollout.text());
+    pending_orders.clear();
+    enqueue(rollout.outstanding());
   }
-  int count_new() const {
+  int new_version_count() const {
     return static_cast<int>(
         std::count_if(runs_new.begin(), runs_new.end(), [](const auto& item) { return item.second; }));
   }
-  void check() {
-    most_allowed = std::max(most_allowed, rollout.allowed());
-    if (count_new() > most_allowed) broken = "more on the new version than the stage allows";
+  void check_limits() {
+    max_allowed_on_new = std::max(max_allowed_on_new, rollout.allowed_on_new());
+    if (new_version_count() > max_allowed_on_new)
+      violation = "more members on the new version than the stage allows";
     std::map<std::string, std::pair<int, int>> zones;
     for (const Member& member : members) {
-      const Place place = rollout.place(member.name);
-      zones[member.zone].first += place == Place::moving || place == Place::returning;
+      const MemberState state = rollout.member_state(member.name);
+      zones[member.zone].first += state == MemberState::moving || state == MemberState::returning;
       zones[member.zone].second += 1;
     }
     for (const auto& [zone, counts] : zones)
       if (counts.first > 1 && 3 * counts.first >= 2 * counts.second)
-        broken = "two thirds of a zone in change";
+        violation = "two thirds of a zone out of service";
   }
-  // All is well from here on, until nothing moves any more.
-  void settle(Word word) {
+  // From here on everything works, until the rollout ends or pauses.
+  void run_without_faults(Word word) {
     for (int i = 0; i < 4'000 && !rollout.over() && rollout.paused().empty(); ++i) {
       now += 100;
-      for (const auto& [name, fresh] : runs_new) take(rollout.found(now, name, true, fresh));
-      take(rollout.tick(now));
-      while (!todo.empty()) {
-        const Order order = todo.front();
-        todo.pop_front();
-        carry_out(order, true, true);
+      for (const auto& [name, on_new_version] : runs_new)
+        enqueue(rollout.found(now, name, true, on_new_version));
+      enqueue(rollout.tick(now));
+      while (!pending_orders.empty()) {
+        const Order order = pending_orders.front();
+        pending_orders.pop_front();
+        execute(order, true, true);
       }
-      take(rollout.judged(now, word, "as the test says"));
+      enqueue(rollout.judged(now, word, "test assessment"));
     }
   }
 
   Rollout rollout;
   std::vector<Member> members;
   std::map<std::string, bool> runs_new;
-  std::map<std::string, std::uint64_t> newest;  // order that a member has heard of
+  std::map<std::string, std::uint64_t> highest_received;  // highest order number that a member received
   std::set<std::string> kept_out;
-  std::deque<Order> todo;
-  std::deque<std::pair<Order, bool>> held_up;  // answers on their way
+  std::deque<Order> pending_orders;
+  std::deque<std::pair<Order, bool>> delayed_results;  // delayed results
   double now = 0;
-  int most_allowed = 0;
-  std::string broken;
+  int max_allowed_on_new = 0;
+  std::string violation;
 };
 
-TEST_CASE("a clean change goes through its stages and ends complete") {
-  World world(plan_of(12, 3, {1, 3, 12}));
-  world.settle(Word::not_worse);
-  CHECK(world.rollout.phase() == Phase::complete);
-  CHECK(world.count_new() == 12);
-  CHECK(world.now >= 3'000);  // three bake times
-  CHECK(world.broken.empty());
+TEST_CASE("a change without faults passes all stages and ends complete") {
+  SimulatedFleet fleet(plan_of(12, 3, {1, 3, 12}));
+  fleet.run_without_faults(Word::not_worse);
+  CHECK(fleet.rollout.phase() == Phase::complete);
+  CHECK(fleet.new_version_count() == 12);
+  CHECK(fleet.now >= 3'000);  // three bake times
+  CHECK(fleet.violation.empty());
 }
 
-TEST_CASE("one that cannot take the change ends it before anybody has it") {
-  World world(plan_of(4, 1, {1, 4}));
-  world.take(world.rollout.tick(0));
-  CHECK(world.todo.size() == 4);
-  world.carry_out({Kind::check, "n2", 3}, false, true);
-  CHECK(world.rollout.phase() == Phase::back);
-  CHECK(world.rollout.reason() == "n2 cannot take it: it says no");
-  world.carry_out({Kind::check, "n1", 2}, true, true);
-  world.settle(Word::not_worse);
-  CHECK(world.count_new() == 0);
+TEST_CASE("a member that cannot run the new version ends the rollout before any member is moved") {
+  SimulatedFleet fleet(plan_of(4, 1, {1, 4}));
+  fleet.enqueue(fleet.rollout.tick(0));
+  CHECK(fleet.pending_orders.size() == 4);
+  fleet.execute({Kind::check, "n2", 3}, false, true);
+  CHECK(fleet.rollout.phase() == Phase::back);
+  CHECK(fleet.rollout.reason() == "n2 cannot run it: refused");
+  fleet.execute({Kind::check, "n1", 2}, true, true);
+  fleet.run_without_faults(Word::not_worse);
+  CHECK(fleet.new_version_count() == 0);
 }
 
-TEST_CASE(
-    "a stage that does worse goes back, paused or not; one that cannot be told pauses with that reason") {
-  World world(plan_of(6, 2, {2, 6}));
-  world.settle(Word::cannot_tell);
-  CHECK(world.rollout.paused() == "stage 1: cannot tell yet whether it does worse");
-  CHECK(world.count_new() == 2);
-  world.take(world.rollout.judged(world.now, Word::worse, "failed of a"));
-  world.settle(Word::worse);
-  CHECK(world.rollout.phase() == Phase::back);
-  CHECK(world.rollout.reason() == "stage 1 does worse: failed of a");
-  CHECK(world.count_new() == 0);
+TEST_CASE("a worse stage is rolled back even while paused; an inconclusive stage pauses with that reason") {
+  SimulatedFleet fleet(plan_of(6, 2, {2, 6}));
+  fleet.run_without_faults(Word::cannot_tell);
+  CHECK(fleet.rollout.paused() == "stage 1: cannot tell yet whether it does worse");
+  CHECK(fleet.new_version_count() == 2);
+  fleet.enqueue(fleet.rollout.judged(fleet.now, Word::worse, "failed of a"));
+  fleet.run_without_faults(Word::worse);
+  CHECK(fleet.rollout.phase() == Phase::back);
+  CHECK(fleet.rollout.reason() == "stage 1 does worse: failed of a");
+  CHECK(fleet.new_version_count() == 0);
 }
 
-TEST_CASE("one that cannot go back is kept out, and named; the others go back all the same") {
-  World world(plan_of(3, 1, {3}));
-  world.settle(Word::cannot_tell);
-  CHECK(world.count_new() == 3);
-  world.take(world.rollout.abort(world.now));
-  for (int i = 0; i < 100 && !world.rollout.over(); ++i) {
-    world.now += 500;
-    world.take(world.rollout.tick(world.now));
-    for (std::deque<Order> todo = std::exchange(world.todo, {}); !todo.empty(); todo.pop_front())
-      world.carry_out(todo.front(), todo.front().member != "n1" || todo.front().kind == Kind::keep_out, true);
+TEST_CASE("a member that cannot go back is kept out and reported; the others still go back") {
+  SimulatedFleet fleet(plan_of(3, 1, {3}));
+  fleet.run_without_faults(Word::cannot_tell);
+  CHECK(fleet.new_version_count() == 3);
+  fleet.enqueue(fleet.rollout.abort(fleet.now));
+  for (int i = 0; i < 100 && !fleet.rollout.over(); ++i) {
+    fleet.now += 500;
+    fleet.enqueue(fleet.rollout.tick(fleet.now));
+    for (std::deque<Order> pending_orders = std::exchange(fleet.pending_orders, {}); !pending_orders.empty();
+         pending_orders.pop_front())
+      fleet.execute(pending_orders.front(),
+                    pending_orders.front().member != "n1" || pending_orders.front().kind == Kind::keep_out,
+                    true);
   }
-  CHECK(world.rollout.phase() == Phase::back);
-  CHECK(world.rollout.place("n1") == Place::left);
-  CHECK(world.kept_out.contains("n1"));
-  CHECK(world.count_new() == 1);
-  CHECK(world.broken.empty());
+  CHECK(fleet.rollout.phase() == Phase::back);
+  CHECK(fleet.rollout.member_state("n1") == MemberState::kept_out);
+  CHECK(fleet.kept_out.contains("n1"));
+  CHECK(fleet.new_version_count() == 1);
+  CHECK(fleet.violation.empty());
 }
 
-TEST_CASE("one that is down holds its stage up, is named, and is changed once it is back") {
-  World world(plan_of(3, 1, {1, 3}));
-  world.take(world.rollout.tick(0));
-  for (std::deque<Order> todo = std::exchange(world.todo, {}); !todo.empty(); todo.pop_front())
-    world.carry_out(todo.front(), true, true);
-  world.runs_new.erase("n2");
-  world.take(world.rollout.found(world.now, "n2", false, false));
-  world.settle(Word::not_worse);
-  CHECK(world.rollout.paused() == "stage 2: n2 is down");
-  world.runs_new["n2"] = false;
-  world.take(world.rollout.resume(world.now));
-  world.settle(Word::not_worse);
-  CHECK(world.rollout.phase() == Phase::complete);
+TEST_CASE("a member that is down blocks its stage, is named, and is moved once it is up again") {
+  SimulatedFleet fleet(plan_of(3, 1, {1, 3}));
+  fleet.enqueue(fleet.rollout.tick(0));
+  for (std::deque<Order> pending_orders = std::exchange(fleet.pending_orders, {}); !pending_orders.empty();
+       pending_orders.pop_front())
+    fleet.execute(pending_orders.front(), true, true);
+  fleet.runs_new.erase("n2");
+  fleet.enqueue(fleet.rollout.found(fleet.now, "n2", false, false));
+  fleet.run_without_faults(Word::not_worse);
+  CHECK(fleet.rollout.paused() == "stage 2: n2 is down");
+  fleet.runs_new["n2"] = false;
+  fleet.enqueue(fleet.rollout.resume(fleet.now));
+  fleet.run_without_faults(Word::not_worse);
+  CHECK(fleet.rollout.phase() == Phase::complete);
 }
 
-TEST_CASE("an answer to an earlier order is none to the one that is out") {
-  World world(plan_of(2, 1, {1, 2}));
-  world.take(world.rollout.tick(0));
-  world.carry_out({Kind::check, "n0", 1}, true, true);
-  world.carry_out({Kind::check, "n1", 2}, true, true);
-  CHECK(world.todo.back() == Order{Kind::move, "n0", 3});
-  world.carry_out({Kind::move, "n0", 3}, true, true);
-  CHECK(world.rollout.phase() == Phase::baking);
-  world.take(world.rollout.found(1, "n0", true, false));  // it came back with the old version
-  CHECK(world.todo.back() == Order{Kind::move, "n0", 4});
-  world.take(world.rollout.answered(2, {Kind::move, "n0", 3}, true, ""));
-  CHECK(world.rollout.place("n0") == Place::moving);
+TEST_CASE("a result of an earlier order does not complete the outstanding one") {
+  SimulatedFleet fleet(plan_of(2, 1, {1, 2}));
+  fleet.enqueue(fleet.rollout.tick(0));
+  fleet.execute({Kind::check, "n0", 1}, true, true);
+  fleet.execute({Kind::check, "n1", 2}, true, true);
+  CHECK(fleet.pending_orders.back() == Order{Kind::move, "n0", 3});
+  fleet.execute({Kind::move, "n0", 3}, true, true);
+  CHECK(fleet.rollout.phase() == Phase::baking);
+  fleet.enqueue(fleet.rollout.found(1, "n0", true, false));  // it restarted with the old version
+  CHECK(fleet.pending_orders.back() == Order{Kind::move, "n0", 4});
+  fleet.enqueue(fleet.rollout.answered(2, {Kind::move, "n0", 3}, true, ""));
+  CHECK(fleet.rollout.member_state("n0") == MemberState::moving);
 }
 
-TEST_CASE("a text that is none, or of another version, is refused in words") {
-  CHECK_THROWS_AS(Rollout::from("{"), std::invalid_argument);
+TEST_CASE("a malformed state or one of another version is refused with a message") {
+  CHECK_THROWS_AS(Rollout::parse("{"), std::invalid_argument);
   std::string text = Rollout(plan_of(2, 1, {1, 2})).text();
-  CHECK(Rollout::from(text).text() == text);
+  CHECK(Rollout::parse(text).text() == text);
   text.replace(text.find("\"version\": 1"), 12, "\"version\": 2");
-  CHECK_THROWS_WITH(Rollout::from(text), "a state of version 2; this one reads 1");
+  CHECK_THROWS_WITH(Rollout::parse(text), "state has version 2; this program reads version 1");
   CHECK_THROWS_AS(Rollout(plan_of(4, 1, {2, 2, 4})), std::invalid_argument);
   CHECK_THROWS_AS(Rollout(plan_of(4, 1, {2})), std::invalid_argument);
 }
 
-// Lost and repeated orders and answers, members that die and come back on either version, a controller that
-// is killed at any point, words of all kinds: what is allowed holds throughout, and calm weather ends it.
-TEST_CASE("whatever is lost, repeated or killed, no bound is broken, and the change ends or says why not") {
+// Lost and repeated orders and results, members that die and return with either version, a controller that is
+// killed at any point, and assessments of all kinds: the limits hold throughout, and once the faults stop the
+// rollout ends.
+TEST_CASE(
+    "with any loss, repetition or crash no limit is exceeded, and the rollout ends or gives a pause reason") {
   CHECK(rc::check([] {
     const int count = *rc::gen::inRange(1, 9), zones = *rc::gen::inRange(1, 4);
     std::vector<int> stages = {count};
     if (count > 2) stages.insert(stages.begin(), *rc::gen::inRange(1, count));
-    World world(plan_of(count, zones, stages));
-    const auto acts = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1'000));
-    for (const int act : acts) {
-      const std::string member = "n" + std::to_string(act / 10 % count);
-      const bool odd = act / 100 % 2 == 1;
-      world.now += 37;
-      switch (act % 10) {
+    SimulatedFleet fleet(plan_of(count, zones, stages));
+    const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1'000));
+    for (const int step : steps) {
+      const std::string member = "n" + std::to_string(step / 10 % count);
+      const bool variant = step / 100 % 2 == 1;
+      fleet.now += 37;
+      switch (step % 10) {
         case 0:
-          world.crash();
+          fleet.crash();
           break;
         case 1:
-          world.take(world.rollout.found(world.now, member, odd, world.runs_new[member]));
+          fleet.enqueue(fleet.rollout.found(fleet.now, member, variant, fleet.runs_new[member]));
           break;
         case 2:
-          world.take(world.rollout.judged(world.now, odd ? Word::not_worse : Word::cannot_tell, "x"));
+          fleet.enqueue(fleet.rollout.judged(fleet.now, variant ? Word::not_worse : Word::cannot_tell, "x"));
           break;
         case 3:
-          if (odd && act > 800) {
-            world.take(world.rollout.judged(world.now, Word::worse, "x"));
-          } else if (!world.held_up.empty()) {
-            const auto [order, done] = world.held_up.front();
-            world.held_up.pop_front();
-            world.take(world.rollout.answered(world.now, order, done, "late"));
+          if (variant && step > 800) {
+            fleet.enqueue(fleet.rollout.judged(fleet.now, Word::worse, "x"));
+          } else if (!fleet.delayed_results.empty()) {
+            const auto [order, done] = fleet.delayed_results.front();
+            fleet.delayed_results.pop_front();
+            fleet.enqueue(fleet.rollout.answered(fleet.now, order, done, "late"));
           }
           break;
         case 4:
-          odd ? world.rollout.pause("") : world.take(world.rollout.resume(world.now));
+          variant ? fleet.rollout.pause("") : fleet.enqueue(fleet.rollout.resume(fleet.now));
           break;
         case 5:
-          if (act > 900) world.take(world.rollout.abort(world.now));
-          world.now += 600;
-          world.take(world.rollout.tick(world.now));
+          if (step > 900) fleet.enqueue(fleet.rollout.abort(fleet.now));
+          fleet.now += 600;
+          fleet.enqueue(fleet.rollout.tick(fleet.now));
           break;
         default:
-          world.take(world.rollout.tick(world.now));
-          if (world.todo.empty()) break;
-          const Order order = world.todo.front();
-          if (act % 10 != 9) world.todo.pop_front();  // else carried out, and again later
-          world.carry_out(order, act % 7 != 0, act % 10 != 8);
+          fleet.enqueue(fleet.rollout.tick(fleet.now));
+          if (fleet.pending_orders.empty()) break;
+          const Order order = fleet.pending_orders.front();
+          if (step % 10 != 9) fleet.pending_orders.pop_front();  // otherwise executed now and again later
+          fleet.execute(order, step % 7 != 0, step % 10 != 8);
       }
-      RC_ASSERT(world.broken == "");
+      RC_ASSERT(fleet.violation == "");
     }
-    world.take(world.rollout.resume(world.now));
-    world.settle(Word::not_worse);
-    RC_ASSERT(world.broken == "");
-    RC_ASSERT(world.rollout.over() || !world.rollout.paused().empty());
-    if (world.rollout.phase() == Phase::complete) RC_ASSERT(world.count_new() == count);
-    if (world.rollout.phase() != Phase::back) return;
-    for (const auto& [name, fresh] : world.runs_new)
-      RC_ASSERT(!fresh || world.rollout.place(name) == Place::left);
+    fleet.enqueue(fleet.rollout.resume(fleet.now));
+    fleet.run_without_faults(Word::not_worse);
+    RC_ASSERT(fleet.violation == "");
+    RC_ASSERT(fleet.rollout.over() || !fleet.rollout.paused().empty());
+    if (fleet.rollout.phase() == Phase::complete) RC_ASSERT(fleet.new_version_count() == count);
+    if (fleet.rollout.phase() != Phase::back) return;
+    for (const auto& [name, on_new_version] : fleet.runs_new)
+      RC_ASSERT(!on_new_version || fleet.rollout.member_state(name) == MemberState::kept_out);
   }));
 }
 
--- a/tests/verdict_test.cpp
+++ b/tests/verdict_test.cpp
@@ -1,4 +1,4 @@
-// The comparison of two cohorts: how often it is wrong, and how soon it is right.
+// Tests of the cohort comparison: how often it errs, and how soon it finds a fault.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "verdict/verdict.hpp"
 
@@ -9,8 +9,8 @@
 namespace woadtide::verdict {
 namespace {
 
-// The second at which it was called worse, or -1.
-int worse_at(const World& world, std::uint64_t seed, int seconds) {
+// Returns the second at which the changed cohort was called worse, or -1.
+int second_called_worse(const World& world, std::uint64_t seed, int seconds) {
   pcg32 random(seed);
   Verdict verdict;
   for (int at = 0; at < seconds; ++at) {
@@ -20,111 +20,111 @@
   return -1;
 }
 
-int found_within(const World& world, int seconds) {
+int runs_called_worse(const World& world, int seconds) {
   int found = 0;
-  for (int i = 0; i < 100; ++i) found += worse_at(world, 1'000 + static_cast<std::uint64_t>(i), seconds) >= 0;
+  for (int i = 0; i < 100; ++i)
+    found += second_called_worse(world, 1'000 + static_cast<std::uint64_t>(i), seconds) >= 0;
   return found;
 }
 
-TEST_CASE("equal cohorts are hardly ever called worse, whatever hits both, and however long one looks") {
-  for (const int fresh : {1, 3, 6}) {
-    World same;
-    same.fresh = fresh;
-    CAPTURE(fresh);
-    CHECK(found_within(same, 600) <= 2);
+TEST_CASE("equal cohorts are almost never called worse, under faults of both sides and after any time") {
+  for (const int changed : {1, 3, 6}) {
+    World equal_cohorts;
+    equal_cohorts.fresh = changed;
+    CAPTURE(changed);
+    CHECK(runs_called_worse(equal_cohorts, 600) <= 2);
   }
 }
 
-TEST_CASE("each defect is found in its first stage") {
+TEST_CASE("each defect is detected in its first stage") {
   World failing;
   failing.failed = 0.02;
-  CHECK(found_within(failing, 400) >= 95);
+  CHECK(runs_called_worse(failing, 400) >= 95);
   World looping;
   looping.restarts = 0.1;
-  CHECK(found_within(looping, 120) >= 95);
+  CHECK(runs_called_worse(looping, 120) >= 95);
   World slower;
-  slower.slow = 0.6;  // half as many again over the p95 and p99
-  CHECK(found_within(slower, 300) >= 95);
+  slower.slow = 0.6;  // 60% more queries over the p95 and p99
+  CHECK(runs_called_worse(slower, 300) >= 95);
   World leaking;
-  leaking.leak_mb = 0.2;
-  CHECK(found_within(leaking, 120) >= 95);
+  leaking.leak_mb_per_s = 0.2;
+  CHECK(runs_called_worse(leaking, 120) >= 95);
 }
 
-TEST_CASE("what fails all at once is found within seconds") {
+TEST_CASE("a version that fails every query is detected within seconds") {
   World broken;
   broken.failed = 1;
-  for (std::uint64_t seed = 0; seed < 20; ++seed) CHECK(worse_at(broken, seed, 10) >= 0);
+  for (std::uint64_t seed = 0; seed < 20; ++seed) CHECK(second_called_worse(broken, seed, 10) >= 0);
 }
 
-TEST_CASE(
-    "not worse is said of equals in the end, and hardly ever of what is worse by more than the margin") {
-  World same;
-  same.troubles = false;
-  same.fresh = 6;
-  World worse = same;
-  worse.failed = 0.04;
-  int good = 0, wrong = 0;
+TEST_CASE("equal cohorts are finally called not worse, and a cohort worse by more than the margin is not") {
+  World equal_cohorts;
+  equal_cohorts.shared_faults = false;
+  equal_cohorts.fresh = 6;
+  World worse_cohort = equal_cohorts;
+  worse_cohort.failed = 0.04;
+  int correct = 0, incorrect = 0;
   for (std::uint64_t i = 0; i < 40; ++i) {
     pcg32 random(i);
     Verdict equal, unequal;
     for (int at = 0; at < 900; ++at) {
-      equal.add(same.second(random, at));
-      unequal.add(worse.second(random, at));
-      wrong += unequal.outcome() == Outcome::not_worse;
+      equal.add(equal_cohorts.second(random, at));
+      unequal.add(worse_cohort.second(random, at));
+      incorrect += unequal.outcome() == Outcome::not_worse;
     }
-    good += equal.outcome() == Outcome::not_worse;
+    correct += equal.outcome() == Outcome::not_worse;
   }
-  CHECK(good >= 36);
-  CHECK(wrong == 0);
+  CHECK(correct >= 36);
+  CHECK(incorrect == 0);
 }
 
-TEST_CASE("one side without queries, or without dispatchers, is no news, and worse stays worse") {
+TEST_CASE("a side without queries or dispatchers adds nothing, and the outcome worse is final") {
   Verdict verdict;
-  Pair alone;
-  alone.fresh.dispatchers = 1;
-  alone.fresh.classes["a"] = {100, 0, 100, 0, {}};
-  for (int i = 0; i < 100; ++i) verdict.add({{"a", alone}});
+  Pair pair;
+  pair.fresh.dispatchers = 1;
+  pair.fresh.classes["a"] = {100, 0, 100, 0, {}};
+  for (int i = 0; i < 100; ++i) verdict.add({{"a", pair}});
   CHECK(verdict.outcome() == Outcome::cannot_tell);
-  alone.old.dispatchers = 11;
-  alone.old.classes["a"] = {1'100, 0, 0, 0, {}};
-  verdict.add({{"a", alone}});
+  pair.old.dispatchers = 11;
+  pair.old.classes["a"] = {1'100, 0, 0, 0, {}};
+  verdict.add({{"a", pair}});
   CHECK(verdict.outcome() == Outcome::worse);
   CHECK(verdict.reason().starts_with("failed of a: 100 of 100 "));
-  std::swap(alone.fresh.classes, alone.old.classes);
-  for (int i = 0; i < 100; ++i) verdict.add({{"a", alone}});
+  std::swap(pair.fresh.classes, pair.old.classes);
+  for (int i = 0; i < 100; ++i) verdict.add({{"a", pair}});
   CHECK(verdict.outcome() == Outcome::worse);
 }
 
-// Guards against a stop for what the change did not do.
-TEST_CASE("a zone that is lost, and a dispatcher whose traffic doubles, are no reasons to stop") {
+// Faults that the change did not cause must not stop it.
+TEST_CASE("a lost zone and a dispatcher whose traffic doubles do not stop a change") {
   const auto side = [](int dispatchers, int asked, int failed) {
-    Side one;
-    one.dispatchers = dispatchers;
-    one.usual_asked = 10.0 * dispatchers;
-    one.classes["a"].asked = asked;
-    one.classes["a"].failed = failed;
-    return one;
+    CohortStats stats;
+    stats.dispatchers = dispatchers;
+    stats.expected_queries = 10.0 * dispatchers;
+    stats.classes["a"].asked = asked;
+    stats.classes["a"].failed = failed;
+    return stats;
   };
-  const auto in_zones = [&](const Side& fresh, const Side& old, const Side& elsewhere) {
+  const auto slice_of = [&](const CohortStats& fresh, const CohortStats& old, const CohortStats& elsewhere) {
     Slice slice;
     slice["a"].fresh = fresh;
     slice["a"].old = old;
     slice["b"].old = elsewhere;
     return slice;
   };
-  const Side calm = side(6, 60, 0);
-  Verdict lost;  // the one changed dispatcher is in the zone that is lost
-  for (int i = 0; i < 60; ++i) lost.add(in_zones(side(1, 10, 6), side(5, 50, 30), calm));
-  CHECK(lost.outcome() == Outcome::cannot_tell);
-  Verdict doubled;
-  for (int i = 0; i < 60; ++i) doubled.add(in_zones(side(1, 20, 8), side(5, 50, 0), calm));
-  CHECK(doubled.outcome() == Outcome::cannot_tell);
-  Verdict real;
-  for (int i = 0; i < 60; ++i) real.add(in_zones(side(1, 10, 4), side(5, 50, 0), calm));
-  CHECK(real.outcome() == Outcome::worse);
+  const CohortStats no_failures = side(6, 60, 0);
+  Verdict lost_zone;  // the only changed dispatcher is in the zone that is lost
+  for (int i = 0; i < 60; ++i) lost_zone.add(slice_of(side(1, 10, 6), side(5, 50, 30), no_failures));
+  CHECK(lost_zone.outcome() == Outcome::cannot_tell);
+  Verdict doubled_traffic;
+  for (int i = 0; i < 60; ++i) doubled_traffic.add(slice_of(side(1, 20, 8), side(5, 50, 0), no_failures));
+  CHECK(doubled_traffic.outcome() == Outcome::cannot_tell);
+  Verdict real_defect;
+  for (int i = 0; i < 60; ++i) real_defect.add(slice_of(side(1, 10, 4), side(5, 50, 0), no_failures));
+  CHECK(real_defect.outcome() == Outcome::worse);
 }
 
-TEST_CASE("one that does better is not called worse") {
+TEST_CASE("a cohort that performs better is not called worse") {
   World mirrored;
   mirrored.failed = 0.05;
   pcg32 random(5);
--- a/tests/verdict_world.hpp
+++ b/tests/verdict_world.hpp
@@ -1,4 +1,4 @@
-// A made-up fleet whose two cohorts are compared: for the tests of the verdict, and for its measurement.
+// A simulated fleet whose two cohorts are compared: for the tests of the comparison and for its benchmark.
 #pragma once
 
 #include <algorithm>
@@ -13,45 +13,49 @@
 
 namespace woadtide::verdict {
 
-// Twelve dispatchers, one or more of them changed, with unlike traffic that moves, and troubles of both.
+// Twelve dispatchers, one or more of them changed, with traffic that is spread unevenly and varies, and with
+// faults that hit both cohorts. The first members are the defects of the changed cohort.
 struct World {
-  double failed = 0, slow = 0;  // more of it on the fresh side: share of queries, factor on what is slow
-  double restarts = 0;          // a second, at each fresh dispatcher
-  double leak_mb = 0;           // a second
-  bool troubles = true;
+  double failed = 0, slow = 0;  // share of queries that fails in addition; relative increase of slow queries
+  double restarts = 0;          // per second and changed dispatcher
+  double leak_mb_per_s = 0;
+  bool shared_faults = true;
   int fresh = 1;
-  double rate = 120;  // queries a second, in all
+  double queries_per_s = 120;
 
+  // Returns the slice of second `at`.
   Slice second(pcg32& random, int at) const {
-    const auto share = [&] { return boost::random::uniform_real_distribution<double>(0, 1)(random); };
-    // A lost zone, a release: one second in eight is bad for all.
-    const bool bad = troubles && at / 10 % 8 == 3;
-    const double part = fresh / 12.0 * (0.5 + share());  // few queries or many, from second to second
-    const auto side = [&](bool is_fresh) {
-      Side one;
-      one.dispatchers = is_fresh ? fresh : 12 - fresh;
-      one.memory_mb = 30 + (is_fresh ? leak_mb * at : 0);
-      for (const auto& [name, of_all] :
+    const auto uniform = [&] { return boost::random::uniform_real_distribution<double>(0, 1)(random); };
+    // A lost zone or a release: for one eighth of the time both cohorts have a fault.
+    const bool fault = shared_faults && at / 10 % 8 == 3;
+    const double changed_share =
+        fresh / 12.0 * (0.5 + uniform());  // the changed cohort's share varies from second to second
+    const auto side = [&](bool is_changed) {
+      CohortStats stats;
+      stats.dispatchers = is_changed ? fresh : 12 - fresh;
+      stats.memory_mb = 30 + (is_changed ? leak_mb_per_s * at : 0);
+      for (const auto& [name, share_of_queries] :
            {std::pair{"receipt-check", 0.62}, std::pair{"refund-payout", 0.38}}) {
         Counts counts;
-        const double mean = rate * of_all * (is_fresh ? part : 1 - part);
+        const double mean =
+            queries_per_s * share_of_queries * (is_changed ? changed_share : 1 - changed_share);
         counts.asked = boost::random::poisson_distribution<int>(std::max(mean, 0.01))(random);
-        const auto some = [&](double chance) {
+        const auto draw = [&](double chance) {
           return boost::random::binomial_distribution<int>(counts.asked, std::min(chance, 1.0))(random);
         };
-        const bool hit = is_fresh && std::string(name) == "refund-payout";
-        counts.failed = some((bad ? 0.3 : 0.002) + (hit ? failed : 0));
-        counts.refused = some(bad ? 0.2 : 0.01);
-        counts.late = some(bad ? 0.2 : 0.03);
-        counts.slow[0] = some(0.05 * (bad ? 4 : 1) * (is_fresh ? 1 + slow : 1));
-        counts.slow[1] = some(0.01 * (bad ? 6 : 1) * (is_fresh ? 1 + slow : 1));
-        one.classes[name] = counts;
+        const bool has_defect = is_changed && std::string(name) == "refund-payout";
+        counts.failed = draw((fault ? 0.3 : 0.002) + (has_defect ? failed : 0));
+        counts.refused = draw(fault ? 0.2 : 0.01);
+        counts.late = draw(fault ? 0.2 : 0.03);
+        counts.slow[0] = draw(0.05 * (fault ? 4 : 1) * (is_changed ? 1 + slow : 1));
+        counts.slow[1] = draw(0.01 * (fault ? 6 : 1) * (is_changed ? 1 + slow : 1));
+        stats.classes[name] = counts;
       }
-      if (is_fresh && restarts > 0)
-        one.restarts = boost::random::poisson_distribution<int>(restarts * fresh)(random);
-      return one;
+      if (is_changed && restarts > 0)
+        stats.restarts = boost::random::poisson_distribution<int>(restarts * fresh)(random);
+      return stats;
     };
-    const Side changed = side(true);
+    const CohortStats changed = side(true);
     return {{"a", {changed, side(false)}}};
   }
 };
