--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -125,33 +125,34 @@
                       "SIGTERM shuts both down, SIGUSR1 only the supervisor.",
                       0))
     return 0;
-  const config::SupervisePart part = file.load().supervise;
+  const config::SupervisePart settings = file.load().supervise;
   for (const auto& [key, value] :
-       {std::pair{"folder", &part.folder}, {"config", &part.config}, {"control", &part.control}})
+       {std::pair{"folder", &settings.folder}, {"config", &settings.config}, {"control", &settings.control}})
     if (value->empty())
       throw std::runtime_error(file.path + ": supervise." + key + ": required for this command");
-  if (part.management.size() != 2)
+  if (settings.management.size() != 2)
     throw std::runtime_error(file.path + ": supervise.management: must have two addresses");
   sigset_t signals;
   sigemptyset(&signals);
   for (const int signal : {SIGTERM, SIGINT, SIGCHLD, SIGUSR1}) sigaddset(&signals, signal);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
-  const core::Config config = core::load_config(part.config);
-  supervise::Setup setup;
-  setup.name = config.name;
-  setup.zone = part.zone;
-  setup.listen = config.listen;
-  setup.config = std::filesystem::absolute(part.config).string();
-  setup.control = part.control;
-  setup.management = part.management;
-  setup.folder = std::filesystem::absolute(part.folder).string();
-  setup.program =
-      part.program.empty() ? std::filesystem::read_symlink("/proc/self/exe").string() : part.program;
-  setup.settings = part.settings;
-  setup.limits = {part.ready_ms,   part.end_ms,         part.good_ms, static_cast<int>(part.crashes),
-                  part.backoff_ms, part.most_backoff_ms};
-  return supervise::run(setup);
+  const core::Config config = core::load_config(settings.config);
+  supervise::SupervisorOptions supervisor_options;
+  supervisor_options.name = config.name;
+  supervisor_options.zone = settings.zone;
+  supervisor_options.listen = config.listen;
+  supervisor_options.config = std::filesystem::absolute(settings.config).string();
+  supervisor_options.control = settings.control;
+  supervisor_options.management_addresses = settings.management;
+  supervisor_options.folder = std::filesystem::absolute(settings.folder).string();
+  supervisor_options.program =
+      settings.program.empty() ? std::filesystem::read_symlink("/proc/self/exe").string() : settings.program;
+  supervisor_options.settings = settings.settings;
+  supervisor_options.limits = {settings.ready_ms,   settings.end_ms,
+                               settings.good_ms,    static_cast<int>(settings.crashes),
+                               settings.backoff_ms, settings.most_backoff_ms};
+  return supervise::run(supervisor_options);
 }
 
 int rollout_command(const std::vector<std::string>& words) {
@@ -174,16 +175,16 @@
                       1))
     return 0;
   const std::string command = arguments.words.empty() ? "" : arguments.words.front();
-  const config::RolloutPart part = file.load().rollout;
-  if (part.folder.empty())
+  const config::RolloutPart settings = file.load().rollout;
+  if (settings.folder.empty())
     throw std::runtime_error(file.path + ": rollout.folder: required for this command");
-  if (command == "plan") return print_plan(part, as_json);
+  if (command == "plan") return print_plan(settings, as_json);
   if (command == "history") {
-    std::cout << control::read_history(part);
+    std::cout << control::read_history(settings);
     return 0;
   }
   if (command == "status") {
-    const std::string status = control::status_json(part);
+    const std::string status = control::status_json(settings);
     if (as_json)
       std::cout << status << '\n';
     else
@@ -193,19 +194,19 @@
   if (command == "start") {
     if (request.program.empty() && request.settings.empty())
       throw std::runtime_error("rollout start needs --program FILE, --settings FILE, or both");
-    control::Controller controller(part);
+    control::Controller controller(settings);
     controller.begin(request);
     return run_change(controller, until_paused, as_json);
   }
   if (command != "pause" && command != "resume" && command != "abort")
     throw std::runtime_error("rollout: plan, start, status, pause, resume, abort or history expected");
   if (const auto answer =
-          control::send_command(part, command == "pause" ? "pause " + pause_reason : command)) {
+          control::send_command(settings, command == "pause" ? "pause " + pause_reason : command)) {
     std::cout << *answer << '\n';
     return *answer == "done" ? 0 : kExitUnfinished;
   }
   if (command == "pause") throw std::runtime_error("no controller runs, so there is nothing to pause");
-  control::Controller controller(part);
+  control::Controller controller(settings);
   if (!controller.has_change()) throw std::runtime_error("there is no unfinished change");
   if (command == "resume")
     controller.resume();
--- a/src/supervise/supervise.cpp
+++ b/src/supervise/supervise.cpp
@@ -11,85 +11,88 @@
 
 namespace {
 
-constexpr int kFormat = 1;
-constexpr std::array<const char*, 4> kOrders = {"check", "move", "go_back", "keep_out"};
-
-json as_json(const Version& version) {
-  return {
-      {"id", version.id}, {"program", version.program}, {"settings", version.settings}, {"kin", version.kin}};
+constexpr int kStateFormat = 1;
+constexpr std::array<const char*, 4> kOrderNames = {"check", "move", "go_back", "keep_out"};
+
+json version_to_json(const Version& version) {
+  return {{"id", version.id},
+          {"program", version.program},
+          {"settings", version.settings},
+          {"kin", version.protocol_version}};
 }
-Version version_in(const json& object) {
+Version version_from_json(const json& object) {
   return {object.at("id"), object.at("program"), object.at("settings"), object.at("kin")};
 }
 
 }  // namespace
 
-const char* word_of(Order::Kind kind) { return kOrders[static_cast<std::size_t>(kind)]; }
+const char* name_of(Order::Kind kind) { return kOrderNames[static_cast<std::size_t>(kind)]; }
 
-std::optional<Order::Kind> order_kind_of(const std::string& word) {
-  const auto found = std::find(kOrders.begin(), kOrders.end(), word);
-  if (found == kOrders.end()) return std::nullopt;
-  return static_cast<Order::Kind>(found - kOrders.begin());
+std::optional<Order::Kind> order_kind_from(const std::string& name) {
+  const auto found = std::find(kOrderNames.begin(), kOrderNames.end(), name);
+  if (found == kOrderNames.end()) return std::nullopt;
+  return static_cast<Order::Kind>(found - kOrderNames.begin());
 }
 
-Core::Core(Version first, Limits limits) : limits_(limits), wanted_(first), good_(std::move(first)) {}
+Core::Core(Version first, Limits limits) : limits_(limits), desired_(first), last_good_(std::move(first)) {}
 
-// What runs, and what is to run ------------------------------------------------------------------------
+// Children ------------------------------------------------------------------------------------------------
 
-int Core::lead() const {
-  int lead = -1;
+int Core::active_slot() const {
+  int active = -1;
   for (int slot = 0; slot < kSlots; ++slot)
-    if (child(slot).stands == Stands::serving && (lead < 0 || child(slot).turn > child(lead).turn))
-      lead = slot;
-  return lead;
+    if (child(slot).state == ChildState::serving &&
+        (active < 0 || child(slot).start_number > child(active).start_number))
+      active = slot;
+  return active;
 }
 
 int Core::free_slot() const {
   for (int slot = 0; slot < kSlots; ++slot)
-    if (child(slot).stands == Stands::none) return slot;
+    if (child(slot).state == ChildState::none) return slot;
   return -1;
 }
 
 void Core::start(double now, int slot, Effects& effects) {
-  children_[static_cast<std::size_t>(slot)] = {Stands::starting, wanted_, now, false, ++turns_};
-  effects.push_back({Effect::Kind::start, slot, wanted_});
+  children_[static_cast<std::size_t>(slot)] = {ChildState::starting, desired_, now, false, ++starts_};
+  effects.push_back({Effect::Kind::start, slot, desired_});
 }
 
-void Core::ask_to_end(double now, int slot, Effects& effects) {
+void Core::request_stop(double now, int slot, Effects& effects) {
   Child& child = children_[static_cast<std::size_t>(slot)];
-  if (child.stands == Stands::leaving) return;
-  child.stands = Stands::leaving;
-  child.since = now;
+  if (child.state == ChildState::stopping) return;
+  child.state = ChildState::stopping;
+  child.state_since = now;
   effects.push_back({Effect::Kind::term, slot});
 }
 
-// One step, from whatever stands now, towards one child of the wanted version: it never goes over two
-// children, and takes the one that serves away only for one that serves, or where none can be started beside
-// it.
-Effects Core::steer(double now) {
+// Takes one step from the current state towards a single child of the desired version. There are never more
+// than two children, and the active child is stopped only if another one serves or if none can be started
+// beside it.
+Effects Core::converge(double now) {
   Effects effects;
-  const int lead = this->lead();
-  bool starting = false, leaving = false;
+  const int active = this->active_slot();
+  bool starting = false, stopping = false;
   for (int slot = 0; slot < kSlots; ++slot) {
     Child& child = children_[static_cast<std::size_t>(slot)];
-    if (ending_ && child.stands != Stands::none) ask_to_end(now, slot, effects);
-    if (child.stands == Stands::starting && !(child.version == wanted_) && !child.killed) {
-      child.killed = true;  // it has taken no clients
+    if (shutting_down_ && child.state != ChildState::none) request_stop(now, slot, effects);
+    if (child.state == ChildState::starting && !(child.version == desired_) && !child.killed) {
+      child.killed = true;  // safe, because it has not taken any clients
       effects.push_back({Effect::Kind::kill, slot});
     }
-    if (child.stands == Stands::serving && slot != lead) ask_to_end(now, slot, effects);
-    starting = starting || child.stands == Stands::starting;
-    leaving = leaving || child.stands == Stands::leaving;
+    if (child.state == ChildState::serving && slot != active) request_stop(now, slot, effects);
+    starting = starting || child.state == ChildState::starting;
+    stopping = stopping || child.state == ChildState::stopping;
   }
-  if (ending_ || starting) return effects;
-  if (lead >= 0 && child(lead).version == wanted_) return effects;
-  if (lead >= 0 && !has_socket_) {
-    ask_to_end(now, lead, effects);
+  if (shutting_down_ || starting) return effects;
+  if (active >= 0 && child(active).version == desired_) return effects;
+  if (active >= 0 && !has_socket_) {
+    request_stop(now, active, effects);
     return effects;
   }
-  if (lead < 0 && leaving && !has_socket_) return effects;  // it holds the address until it has ended
+  if (active < 0 && stopping && !has_socket_) return effects;  // it holds the address until it has ended
   const int slot = free_slot();
-  if (slot >= 0 && now >= not_before_) start(now, slot, effects);
+  if (slot >= 0 && now >= earliest_start_at_) start(now, slot, effects);
   return effects;
 }
 
@@ -97,101 +100,108 @@
   Effects effects;
   for (int slot = 0; slot < kSlots; ++slot) {
     Child& child = children_[static_cast<std::size_t>(slot)];
-    const bool late = (child.stands == Stands::starting && now >= child.since + limits_.ready_ms) ||
-                      (child.stands == Stands::leaving && now >= child.since + limits_.end_ms);
-    if (!late || child.killed) continue;
+    const bool timed_out =
+        (child.state == ChildState::starting && now >= child.state_since + limits_.ready_timeout_ms) ||
+        (child.state == ChildState::stopping && now >= child.state_since + limits_.stop_timeout_ms);
+    if (!timed_out || child.killed) continue;
     child.killed = true;
     effects.push_back({Effect::Kind::kill, slot});
   }
-  const int lead = this->lead();
-  if (lead >= 0 && now >= child(lead).since + limits_.good_ms) {
-    crashes_ = 0;
-    if (child(lead).version == wanted_) good_ = wanted_;
+  const int active = this->active_slot();
+  if (active >= 0 && now >= child(active).state_since + limits_.good_after_ms) {
+    consecutive_crashes_ = 0;
+    if (child(active).version == desired_) last_good_ = desired_;
   }
-  const Effects more = steer(now);
+  const Effects more = converge(now);
   effects.insert(effects.end(), more.begin(), more.end());
   return effects;
 }
 
 Effects Core::serves(double now, int slot) {
   Child& child = children_.at(static_cast<std::size_t>(slot));
-  if (child.stands != Stands::starting || child.killed) return {};
-  child.stands = Stands::serving;
-  child.since = now;
-  if (progress_ == Progress::working && doing_ != Order::Kind::check && child.version == wanted_)
+  if (child.state != ChildState::starting || child.killed) return {};
+  child.state = ChildState::serving;
+  child.state_since = now;
+  if (progress_ == Progress::working && order_kind_ != Order::Kind::check && child.version == desired_)
     progress_ = Progress::done;
-  return steer(now);
+  return converge(now);
 }
 
-Effects Core::ended(double now, int slot) {
+Effects Core::on_exit(double now, int slot) {
   Child& child = children_.at(static_cast<std::size_t>(slot));
-  const Child was = child;
+  const Child ended = child;
   child = {};
-  if (was.stands == Stands::starting && was.version == wanted_) {
-    const bool alone = lead() < 0;
-    failed(now, was.killed ? "it did not get ready in time" : "it ended before it served");
-    if (alone) crashed(now);
-  } else if (was.stands == Stands::serving) {
-    all_crashes_ += 1;
-    if (lead() < 0) crashed(now);
+  if (ended.state == ChildState::starting && ended.version == desired_) {
+    const bool none_serving = active_slot() < 0;
+    fail_change(now,
+                ended.killed ? "the process was not ready in time" : "the process ended before it served");
+    if (none_serving) handle_crash(now);
+  } else if (ended.state == ChildState::serving) {
+    total_crashes_ += 1;
+    if (active_slot() < 0) handle_crash(now);
   }
-  return steer(now);
+  return converge(now);
 }
 
-// Of the one that took the clients, or was to: the next start waits, and one that never proved good is left.
-void Core::crashed(double now) {
-  not_before_ =
-      now + std::min(limits_.most_backoff_ms, limits_.backoff_ms * std::pow(2.0, std::min(crashes_, 20)));
-  crashes_ += 1;
-  if (crashes_ < limits_.crashes || wanted_ == good_) return;
-  fell_back_ = "it ended " + std::to_string(crashes_) + " times before it had served for " +
-               std::to_string(static_cast<int>(limits_.good_ms)) + " ms";
-  wanted_ = good_;
-  crashes_ = 0;
+// Handles the crash of the child that took the clients or was about to: the next start is delayed, and a
+// version that never became good is replaced by the last good one.
+void Core::handle_crash(double now) {
+  earliest_start_at_ =
+      now + std::min(limits_.max_backoff_ms,
+                     limits_.first_backoff_ms * std::pow(2.0, std::min(consecutive_crashes_, 20)));
+  consecutive_crashes_ += 1;
+  if (consecutive_crashes_ < limits_.max_crashes || desired_ == last_good_) return;
+  fallback_reason_ = "the process ended " + std::to_string(consecutive_crashes_) +
+                     " times before it had served for " +
+                     std::to_string(static_cast<int>(limits_.good_after_ms)) + " ms";
+  desired_ = last_good_;
+  consecutive_crashes_ = 0;
 }
 
-// A change whose child does not come up is over; who serves goes on, and where nobody does the last good one.
-void Core::failed(double now, const std::string& why) {
-  if (progress_ != Progress::working || doing_ == Order::Kind::check) return;
+// Ends a change whose child does not come up: the active child continues, or if there is none the last good
+// version is started.
+void Core::fail_change(double now, const std::string& why) {
+  if (progress_ != Progress::working || order_kind_ == Order::Kind::check) return;
   progress_ = Progress::failed;
-  why_ = why;
-  const int lead = this->lead();
-  wanted_ = lead >= 0 ? child(lead).version : good_;
-  if (lead < 0) not_before_ = now;
+  failure_reason_ = why;
+  const int active = this->active_slot();
+  desired_ = active >= 0 ? child(active).version : last_good_;
+  if (active < 0) earliest_start_at_ = now;
 }
 
-// Orders -----------------------------------------------------------------------------------------------
+// Orders --------------------------------------------------------------------------------------------------
 
-std::string Core::ordered(double now, const Order& order, Effects& effects) {
-  if (ending_) return "this supervisor is ending";
+std::string Core::handle_order(double now, const Order& order, Effects& effects) {
+  if (shutting_down_) return "the supervisor is shutting down";
   if (!controller_.empty() && order.controller != controller_ && !order.take_over)
-    return "controller " + controller_ + " leads here; --take-over ends that";
-  if (order.number < newest_ || (order.number == newest_ && order.controller != controller_))
-    return "order " + std::to_string(order.number) + " is older than " + std::to_string(newest_);
-  if (order.number == newest_) return {};  // said again
+    return "controller " + controller_ + " leads here; use --take-over to replace it";
+  if (order.number < last_order_number_ ||
+      (order.number == last_order_number_ && order.controller != controller_))
+    return "order " + std::to_string(order.number) + " is older than " + std::to_string(last_order_number_);
+  if (order.number == last_order_number_) return {};  // a repeated order
   if (order.kind != Order::Kind::check && (order.change != change_ || !candidate_))
-    return "change " + order.change + " was not checked here";
-  newest_ = order.number;
+    return "change " + order.change + " has not been checked here";
+  last_order_number_ = order.number;
   controller_ = order.controller;
-  doing_ = order.kind;
+  order_kind_ = order.kind;
   progress_ = Progress::working;
-  why_.clear();
+  failure_reason_.clear();
   switch (order.kind) {
     case Order::Kind::check:
       change_ = order.change;
       candidate_.reset();
-      before_ = wanted_;
-      fell_back_.clear();
+      previous_ = desired_;
+      fallback_reason_.clear();
       effects.push_back({Effect::Kind::examine, 0, {}, order.number, order.program, order.settings});
       return {};
     case Order::Kind::move:
     case Order::Kind::go_back: {
-      wanted_ = order.kind == Order::Kind::move ? *candidate_ : *before_;
-      if (order.kind == Order::Kind::move) fell_back_.clear();
-      crashes_ = 0;
-      not_before_ = now;
-      const int lead = this->lead();
-      if (lead >= 0 && child(lead).version == wanted_) progress_ = Progress::done;
+      desired_ = order.kind == Order::Kind::move ? *candidate_ : *previous_;
+      if (order.kind == Order::Kind::move) fallback_reason_.clear();
+      consecutive_crashes_ = 0;
+      earliest_start_at_ = now;
+      const int active = this->active_slot();
+      if (active >= 0 && child(active).version == desired_) progress_ = Progress::done;
       break;
     }
     case Order::Kind::keep_out:
@@ -199,102 +209,105 @@
       progress_ = Progress::done;
       break;
   }
-  const Effects more = steer(now);
+  const Effects more = converge(now);
   effects.insert(effects.end(), more.begin(), more.end());
   return {};
 }
 
-Effects Core::examined(double now, std::uint64_t number, const Version& version, const std::string& why) {
-  if (number != newest_ || doing_ != Order::Kind::check || progress_ != Progress::working) return {};
-  progress_ = why.empty() ? Progress::done : Progress::failed;
-  why_ = why;
-  if (why.empty()) candidate_ = version;
-  return steer(now);
+Effects Core::on_examined(double now, std::uint64_t number, const Version& version,
+                          const std::string& failure) {
+  if (number != last_order_number_ || order_kind_ != Order::Kind::check || progress_ != Progress::working)
+    return {};
+  progress_ = failure.empty() ? Progress::done : Progress::failed;
+  failure_reason_ = failure;
+  if (failure.empty()) candidate_ = version;
+  return converge(now);
 }
 
 void Core::exclude(const std::string& worker, bool out) {
   if (out)
-    excluded_.insert(worker);
+    excluded_workers_.insert(worker);
   else
-    excluded_.erase(worker);
+    excluded_workers_.erase(worker);
 }
 
-// Begin and end ----------------------------------------------------------------------------------------
+// Start and shutdown --------------------------------------------------------------------------------------
 
-Effects Core::end(double now) {
-  ending_ = true;
-  return steer(now);
+Effects Core::begin_shutdown(double now) {
+  shutting_down_ = true;
+  return converge(now);
 }
 
-bool Core::over() const {
-  return ending_ && std::all_of(children_.begin(), children_.end(),
-                                [](const Child& child) { return child.stands == Stands::none; });
+bool Core::shutdown_complete() const {
+  return shutting_down_ && std::all_of(children_.begin(), children_.end(),
+                                       [](const Child& child) { return child.state == ChildState::none; });
 }
 
 void Core::adopt(double now, int slot, const Version& version) {
-  children_.at(static_cast<std::size_t>(slot)) = {Stands::starting, version, now, false, ++turns_};
+  children_.at(static_cast<std::size_t>(slot)) = {ChildState::starting, version, now, false, ++starts_};
 }
 
 std::string Core::text() const {
-  const auto maybe = [](const std::optional<Version>& version) {
-    return version ? as_json(*version) : json(nullptr);
+  const auto optional_version = [](const std::optional<Version>& version) {
+    return version ? version_to_json(*version) : json(nullptr);
   };
-  return json({{"format", kFormat},
-               {"wanted", as_json(wanted_)},
-               {"good", as_json(good_)},
-               {"candidate", maybe(candidate_)},
-               {"before", maybe(before_)},
+  return json({{"format", kStateFormat},
+               {"wanted", version_to_json(desired_)},
+               {"good", version_to_json(last_good_)},
+               {"candidate", optional_version(candidate_)},
+               {"before", optional_version(previous_)},
                {"controller", controller_},
                {"change", change_},
-               {"newest", newest_},
-               {"doing", word_of(doing_)},
+               {"newest", last_order_number_},
+               {"doing", name_of(order_kind_)},
                {"progress", static_cast<int>(progress_)},
-               {"why", why_},
-               {"fell_back", fell_back_},
-               {"excluded", excluded_},
+               {"why", failure_reason_},
+               {"fell_back", fallback_reason_},
+               {"excluded", excluded_workers_},
                {"evacuated", evacuated_},
-               {"crashes", all_crashes_}})
+               {"crashes", total_crashes_}})
       .dump(1);
 }
 
 Core Core::from(const std::string& text, Limits limits) {
   const json object = json::parse(text, nullptr, false);
-  if (!object.is_object()) throw std::invalid_argument("no state of a supervisor");
+  if (!object.is_object()) throw std::invalid_argument("not the state of a supervisor: not a JSON object");
   try {
-    if (object.at("format") != kFormat)
-      throw std::invalid_argument("a supervisor's state of format " + object.at("format").dump() +
-                                  "; this one reads " + std::to_string(kFormat));
-    const auto maybe = [&](const char* key) {
-      return object.at(key).is_null() ? std::nullopt : std::optional(version_in(object.at(key)));
+    if (object.at("format") != kStateFormat)
+      throw std::invalid_argument("the supervisor's state has format " + object.at("format").dump() +
+                                  "; this program reads format " + std::to_string(kStateFormat));
+    const auto optional_version = [&](const char* key) {
+      return object.at(key).is_null() ? std::nullopt : std::optional(version_from_json(object.at(key)));
     };
-    Core read;
-    read.limits_ = limits;
-    read.wanted_ = version_in(object.at("wanted"));
-    read.good_ = version_in(object.at("good"));
-    read.candidate_ = maybe("candidate");
-    read.before_ = maybe("before");
-    read.controller_ = object.at("controller");
-    read.change_ = object.at("change");
-    read.newest_ = object.at("newest");
-    const auto doing = order_kind_of(object.at("doing"));
+    Core restored;
+    restored.limits_ = limits;
+    restored.desired_ = version_from_json(object.at("wanted"));
+    restored.last_good_ = version_from_json(object.at("good"));
+    restored.candidate_ = optional_version("candidate");
+    restored.previous_ = optional_version("before");
+    restored.controller_ = object.at("controller");
+    restored.change_ = object.at("change");
+    restored.last_order_number_ = object.at("newest");
+    const auto order_kind = order_kind_from(object.at("doing"));
     const int progress = object.at("progress");
-    if (!doing || progress < 0 || progress > static_cast<int>(Progress::failed))
-      throw std::invalid_argument("a supervisor's state that cannot be right");
-    read.doing_ = *doing;
-    read.progress_ = static_cast<Progress>(progress);
-    read.why_ = object.at("why");
-    read.fell_back_ = object.at("fell_back");
-    object.at("excluded").get_to(read.excluded_);
-    read.evacuated_ = object.at("evacuated");
-    read.all_crashes_ = object.at("crashes");
-    // What was being looked at when the former life ended is not looked at any more: asked again, it is.
-    if (read.progress_ == Progress::working && read.doing_ == Order::Kind::check) {
-      read.progress_ = Progress::failed;
-      read.why_ = "the supervisor was started again meanwhile";
+    if (!order_kind || progress < 0 || progress > static_cast<int>(Progress::failed))
+      throw std::invalid_argument("the supervisor's state has a value out of range");
+    restored.order_kind_ = *order_kind;
+    restored.progress_ = static_cast<Progress>(progress);
+    restored.failure_reason_ = object.at("why");
+    restored.fallback_reason_ = object.at("fell_back");
+    object.at("excluded").get_to(restored.excluded_workers_);
+    restored.evacuated_ = object.at("evacuated");
+    restored.total_crashes_ = object.at("crashes");
+    // An examination that was interrupted by the end of the previous supervisor is not continued; a new
+    // order starts another.
+    if (restored.progress_ == Progress::working && restored.order_kind_ == Order::Kind::check) {
+      restored.progress_ = Progress::failed;
+      restored.failure_reason_ = "the supervisor was restarted during the examination";
     }
-    return read;
-  } catch (const json::exception& wrong) {
-    throw std::invalid_argument(wrong.what());
+    return restored;
+  } catch (const json::exception& error) {
+    throw std::invalid_argument(error.what());
   }
 }
 
--- a/src/supervise/supervise.hpp
+++ b/src/supervise/supervise.hpp
@@ -1,6 +1,7 @@
-// The parent of one dispatcher's processes: which version is to run, which child leads, what a crash, a
-// change or the way back mean. Events and a time in, effects out; it knows no process, no socket and no disk,
-// and its state goes into a text and comes back from it. Invariants are in README.md.
+// State machine of a supervisor, the parent of one dispatcher's processes: which version should run, which
+// child takes the clients, and what a crash, a change or a rollback leads to. Input is events with a
+// timestamp, output is effects; it has no access to processes, sockets or the disk, and its state can be
+// serialized and restored. Invariants: README.md. Times are in milliseconds on the caller's clock.
 #pragma once
 
 #include <array>
@@ -12,123 +13,144 @@
 
 namespace woadtide::supervise {
 
-// A program and its operator's file, copied into the supervisor's folder; `id` is made from their contents.
+// A program and its operator's file, copied into the supervisor's folder. `id` is a hash of their contents.
 struct Version {
   std::string id, program, settings;  // settings: empty for none
-  int kin = 1;                        // what it speaks to another process of the same dispatcher
+  int protocol_version = 1;           // of its protocol with a sibling process of the same dispatcher
   bool operator==(const Version& other) const { return id == other.id; }
 };
 
 struct Limits {
-  double ready_ms = 10'000;        // from a start until it serves
-  double end_ms = 8'000;           // from SIGTERM until it has ended, then SIGKILL
-  double good_ms = 30'000;         // a version that served so long is one to go back to
-  int crashes = 3;                 // of a version that is not good yet: then it goes back by itself
-  double backoff_ms = 100;         // before the first start after a crash, twice as long each time
-  double most_backoff_ms = 5'000;  // at most
+  double ready_timeout_ms = 10'000;  // from the start of a child until it serves
+  double stop_timeout_ms = 8'000;    // from SIGTERM until the child has ended; then SIGKILL
+  double good_after_ms = 30'000;     // a version that has served this long can be fallen back to
+  int max_crashes = 3;               // of a version that is not good yet; then the last good one is started
+  double first_backoff_ms = 100;     // before the first start after a crash; doubled each time
+  double max_backoff_ms = 5'000;
 };
 
-// From a controller. Carrying one out twice does no harm.
+// An order from a controller. Orders are idempotent.
 struct Order {
+  // Named as on the wire.
   enum class Kind { check, move, go_back, keep_out } kind = Kind::check;
   std::string controller, change;
-  std::uint64_t number = 0;       // those below the newest that was heard are refused
-  std::string program, settings;  // check: the files to take
-  bool take_over = false;         // check: from another controller
+  std::uint64_t number = 0;       // orders below the highest number received are refused
+  std::string program, settings;  // check: paths of the files to copy
+  bool take_over = false;         // check: accept although another controller leads
 };
-const char* word_of(Order::Kind kind);
-std::optional<Order::Kind> order_kind_of(const std::string& word);
+// Conversion to and from the name of an order on the wire.
+const char* name_of(Order::Kind kind);
+std::optional<Order::Kind> order_kind_from(const std::string& name);
 
+// What the owner of the state machine has to do.
 struct Effect {
   enum class Kind {
-    start,    // a child with `version` in `slot`, with the listening socket
-    term,     // SIGTERM to the child in `slot`
-    kill,     // SIGKILL
-    examine,  // copy `program` and `settings` and look whether they can serve; then examined()
+    start,    // start a child with `version` in `slot` and pass it the listening socket
+    term,     // send SIGTERM to the child in `slot`
+    kill,     // send SIGKILL to it
+    examine,  // copy `program` and `settings`, check that they can serve, then call on_examined()
   } kind = Kind::start;
   int slot = 0;
   Version version = {};
-  std::uint64_t number = 0;
+  std::uint64_t number = 0;  // examine: the number of the order
   std::string program = {}, settings = {};
 };
 using Effects = std::vector<Effect>;
 
-enum class Stands { none, starting, serving, leaving };
+enum class ChildState { none, starting, serving, stopping };
 struct Child {
-  Stands stands = Stands::none;
+  ChildState state = ChildState::none;
   Version version;
-  double since = 0;
+  double state_since = 0;
   bool killed = false;
-  std::uint64_t turn = 0;  // the newest that serves leads
+  std::uint64_t start_number = 0;  // among serving children the latest one started is active
 };
 
 class Core {
  public:
-  static constexpr int kSlots = 2;  // an old and a new child, never more
+  static constexpr int kSlots = 2;  // at most an old and a new child
+  // Starts with `first` as the desired and the last good version.
   Core(Version first, Limits limits);
-  // From text(), for the next life of the supervisor. Throws std::invalid_argument.
+  // Restores the state from text(). Throws std::invalid_argument if the text is malformed or of another
+  // format.
   static Core from(const std::string& text, Limits limits);
+  // Returns the stored part of the state as JSON; children are not included, see adopt().
   std::string text() const;
 
-  // Before the first tick: a child that lives on from the former supervisor, serving or about to.
+  // Before the first tick: registers a child that has survived the previous supervisor, serving or not yet.
   void adopt(double now, int slot, const Version& version);
-  // Without the socket no child can be started beside another: it has to end first.
-  void set_socket(bool held) { has_socket_ = held; }
+  // Whether the supervisor holds the listening socket. Without it no child can be started beside another one;
+  // the old child has to end first.
+  void set_has_socket(bool has_socket) { has_socket_ = has_socket; }
 
+  // Events. Each returns the effects to execute.
+
+  // Time has passed: enforces timeouts and takes the next step.
   Effects tick(double now);
+  // The child in `slot` accepts clients.
   Effects serves(double now, int slot);
-  Effects ended(double now, int slot);
-  // Why it is refused, in a line; empty: taken. What it leads to comes with the next tick.
-  std::string ordered(double now, const Order& order, Effects& effects);
-  // `why`: empty where it can serve.
-  Effects examined(double now, std::uint64_t number, const Version& version, const std::string& why);
-  void evacuate(bool out) { evacuated_ = out; }  // an operator's word, or seen at the child
+  // The child in `slot` has ended.
+  Effects on_exit(double now, int slot);
+  // An order has arrived. Returns why it is refused, in one line, or an empty string. Appends the effects.
+  std::string handle_order(double now, const Order& order, Effects& effects);
+  // The result of an examination; `failure` is empty if the version can serve.
+  Effects on_examined(double now, std::uint64_t number, const Version& version, const std::string& failure);
+  // The dispatcher takes no clients: set by an operator, or observed at the child.
+  void set_evacuated(bool evacuated) { evacuated_ = evacuated; }
+  // Adds a worker to the excluded ones, or removes it.
   void exclude(const std::string& worker, bool out);
-  // The planned end: all children, and over() once they are gone.
-  Effects end(double now);
-  bool over() const;
+  // Planned shutdown: all children are stopped; shutdown_complete() returns true once they have ended.
+  Effects begin_shutdown(double now);
+  bool shutdown_complete() const;
 
+  // Progress of the latest order, stored by its position.
   enum class Progress { none, working, done, failed };
   Progress progress() const { return progress_; }
-  const std::string& why() const { return why_; }  // of a failure
-  std::uint64_t newest() const { return newest_; }
+  // Returns why the latest order failed, or an empty string.
+  const std::string& failure_reason() const { return failure_reason_; }
+  std::uint64_t last_order_number() const { return last_order_number_; }
+  // Returns the id of the controller that leads, or an empty string.
   const std::string& controller() const { return controller_; }
   const std::string& change() const { return change_; }
-  const Version& wanted() const { return wanted_; }
-  const Version& good() const { return good_; }
+  // The version that should run.
+  const Version& desired() const { return desired_; }
+  // The last version that served long enough.
+  const Version& last_good() const { return last_good_; }
+  // The version that the current change examined, and the one from before it.
   const std::optional<Version>& candidate() const { return candidate_; }
-  const std::optional<Version>& before() const { return before_; }
-  // Of the version asked for: why it left it, by itself; empty: it did not.
-  const std::string& fell_back() const { return fell_back_; }
+  const std::optional<Version>& previous() const { return previous_; }
+  // Returns why the supervisor left the ordered version on its own, or an empty string if it did not.
+  const std::string& fallback_reason() const { return fallback_reason_; }
   bool evacuated() const { return evacuated_; }
-  const std::set<std::string>& excluded() const { return excluded_; }
-  int crashes() const { return all_crashes_; }  // ends that nobody ordered, in all lives
+  const std::set<std::string>& excluded_workers() const { return excluded_workers_; }
+  // Returns the number of unplanned process ends, including those under previous supervisors.
+  int total_crashes() const { return total_crashes_; }
   const Child& child(int slot) const { return children_.at(static_cast<std::size_t>(slot)); }
-  // The child that takes the clients; -1: none.
-  int lead() const;
+  // Returns the slot of the child that takes the clients, or -1.
+  int active_slot() const;
 
  private:
   Core() = default;
-  Effects steer(double now);
+  Effects converge(double now);
   void start(double now, int slot, Effects& effects);
-  void ask_to_end(double now, int slot, Effects& effects);
-  void crashed(double now);
-  void failed(double now, const std::string& why);
+  void request_stop(double now, int slot, Effects& effects);
+  void handle_crash(double now);
+  void fail_change(double now, const std::string& why);
   int free_slot() const;
 
   Limits limits_;
   std::array<Child, kSlots> children_;
-  Version wanted_, good_;
-  std::optional<Version> candidate_, before_;  // of the change that goes on
+  Version desired_, last_good_;
+  std::optional<Version> candidate_, previous_;  // of the current change
   std::string controller_, change_;
-  std::uint64_t newest_ = 0, turns_ = 0;
-  Order::Kind doing_ = Order::Kind::check;
+  std::uint64_t last_order_number_ = 0, starts_ = 0;
+  Order::Kind order_kind_ = Order::Kind::check;  // of the latest order
   Progress progress_ = Progress::none;
-  std::string why_, fell_back_;
-  std::set<std::string> excluded_;
-  bool evacuated_ = false, has_socket_ = true, ending_ = false;
-  int crashes_ = 0, all_crashes_ = 0;  // crashes_: in a row
-  double not_before_ = 0;              // of the next start
+  std::string failure_reason_, fallback_reason_;
+  std::set<std::string> excluded_workers_;
+  bool evacuated_ = false, has_socket_ = true, shutting_down_ = false;
+  int consecutive_crashes_ = 0, total_crashes_ = 0;
+  double earliest_start_at_ = 0;
 };
 
 }  // namespace woadtide::supervise
--- a/src/supervise/supervisor.cpp
+++ b/src/supervise/supervisor.cpp
@@ -43,23 +43,23 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 
-constexpr int kPassedSocket = 3;
-constexpr int kTurnMs = 20;
-constexpr double kAskEveryMs = 100, kLookEveryMs = 500;  // a child that starts; one that leads
-constexpr double kAnswerMs = 150;                        // for a child, on loopback
-constexpr double kTetherMs = 300;
-constexpr double kExamineMs = 5'000;  // for each of the two looks at a version
-constexpr double kCallerMs = 2'000;
-constexpr std::size_t kMostCallers = 16, kMostLine = 16 * 1024;
-
-// A process by its number and its start: the number alone may be another one's by now.
-struct Process {
+constexpr int kPassedSocketFd = 3;
+constexpr int kPollIntervalMs = 20;
+constexpr double kStartingProbeMs = 100, kServingProbeMs = 500;  // for a starting and for a serving child
+constexpr double kChildCallTimeoutMs = 150;                      // for a call to a child over loopback
+constexpr double kControlSocketTimeoutMs = 300;
+constexpr double kExaminationTimeoutMs = 5'000;  // for each of the two steps of an examination
+constexpr double kConnectionTimeoutMs = 2'000;
+constexpr std::size_t kMaxConnections = 16, kMaxRequestBytes = 16 * 1024;
+
+// A process, identified by its pid and its start time, because the pid alone may have been reused.
+struct ProcessId {
   pid_t pid = 0;
-  unsigned long long start = 0;
+  unsigned long long start_ticks = 0;
 };
 
-// The fields of /proc/PID/stat behind the name, from the state on.
-std::vector<std::string> stat_of(pid_t pid) {
+// Returns the fields of /proc/PID/stat after the command name, starting with the state.
+std::vector<std::string> proc_stat_fields(pid_t pid) {
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
   std::string text;
   std::getline(file, text);
@@ -72,23 +72,25 @@
 }
 constexpr std::size_t kStateField = 0, kUserTicks = 11, kSystemTicks = 12, kStartField = 19;
 
-unsigned long long start_of(pid_t pid) {
-  const auto fields = stat_of(pid);
+unsigned long long start_ticks_of(pid_t pid) {
+  const auto fields = proc_stat_fields(pid);
   if (fields.size() <= kStartField || fields[kStateField] == "Z") return 0;
   return std::strtoull(fields[kStartField].c_str(), nullptr, 10);
 }
-bool lives(const Process& process) { return process.pid > 0 && start_of(process.pid) == process.start; }
+bool is_running(const ProcessId& process) {
+  return process.pid > 0 && start_ticks_of(process.pid) == process.start_ticks;
+}
 
 double cpu_ms_of(pid_t pid) {
-  const auto fields = stat_of(pid);
+  const auto fields = proc_stat_fields(pid);
   if (fields.size() <= kSystemTicks) return 0;
   const double ticks = std::atof(fields[kUserTicks].c_str()) + std::atof(fields[kSystemTicks].c_str());
   return ticks * 1'000 / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
-double memory_mb_of(pid_t pid) {
+double resident_mb_of(pid_t pid) {
   std::ifstream file("/proc/" + std::to_string(pid) + "/statm");
-  double all = 0, resident = 0;
-  file >> all >> resident;
+  double total = 0, resident = 0;
+  file >> total >> resident;
   return resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1e6;
 }
 
@@ -100,195 +102,205 @@
   return last;
 }
 
-struct Held {  // of a slot
-  Process process;
-  bool ours = false;    // its parent: its end comes by waitpid
-  bool synced = false;  // evacuation and bans were told to it
-  double asked_at = 0;
+// The process in a slot.
+struct ChildProcess {
+  ProcessId id;
+  bool is_child = false;             // started by this supervisor, so its end is reported by waitpid
+  bool operator_state_sent = false;  // the evacuation and the excluded workers were sent to it
+  double probed_at = 0;
 };
 
 class Supervisor {
  public:
-  explicit Supervisor(const Setup& setup)
-      : setup_(setup),
-        file_(setup.folder + "/state"),
-        versions_(setup.folder + "/versions"),
-        control_(begin()) {
+  explicit Supervisor(const SupervisorOptions& options)
+      : options_(options),
+        file_(options.folder + "/state"),
+        versions_(options.folder + "/versions"),
+        control_(open_folder()) {
     find_children();
-    if (core_.newest() == 0 && core_.lead() < 0) save_or_throw();
+    if (core_.last_order_number() == 0 && core_.active_slot() < 0) save_or_throw();
   }
 
   int run() {
     sigset_t signals;
     sigemptyset(&signals);
-    for (const int one : {SIGTERM, SIGINT, SIGCHLD, SIGUSR1}) sigaddset(&signals, one);
-    const park::Fd told(::signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC));
-    if (!told) throw std::system_error(errno, std::generic_category(), "signals");
+    for (const int signal : {SIGTERM, SIGINT, SIGCHLD, SIGUSR1}) sigaddset(&signals, signal);
+    const park::Fd signal_fd(::signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC));
+    if (!signal_fd) throw std::system_error(errno, std::generic_category(), "signals");
     for (;;) {
       signalfd_siginfo info{};
-      while (::read(told.get(), &info, sizeof info) == sizeof info) {
+      while (::read(signal_fd.get(), &info, sizeof info) == sizeof info) {
         if (info.ssi_signo == SIGUSR1) {
-          core::log_line("supervise: gone by SIGUSR1; the dispatcher goes on, the next supervisor finds it");
+          core::log_line(
+              "supervise: ended by SIGUSR1; the dispatcher continues, and the next supervisor will find it");
           return 0;
         }
         if (info.ssi_signo == SIGTERM || info.ssi_signo == SIGINT) {
-          note({{"what", "end"}});
-          listener_ = net::Socket();  // what comes from here on is refused, once the child listens no more
-          apply([&] { return core_.end(clock_.now()); });
+          append_history({{"what", "end"}});
+          // Connections are refused from here on, once the child has stopped listening.
+          listener_ = net::Socket();
+          apply_event([&] { return core_.begin_shutdown(clock_.now()); });
         }
       }
-      look_after();
-      if (core_.over()) return 0;
-      wait(told.get());
+      poll_children();
+      if (core_.shutdown_complete()) return 0;
+      wait_for_events(signal_fd.get());
     }
   }
 
  private:
-  struct Caller {
+  struct Connection {
     net::Socket socket;
-    std::string come, answer;
-    double since = 0;
-    bool answered = false, over = false;
+    std::string input, output;
+    double started_at = 0;  // when it was accepted, or when its answer was ready
+    bool answered = false, closed = false;
   };
   struct Examination {
     std::uint64_t number = 0;
     Version version;
     pid_t pid = 0;
-    bool checking = false;  // the second look: check-config
-    double until = 0;
+    bool checking_config = false;  // the second step: check-config
+    double deadline = 0;
   };
 
-  std::string file(const std::string& name) const { return setup_.folder + '/' + name; }
-  std::string tether(int slot) const { return file("child-" + std::to_string(slot) + ".sock"); }
-  std::string mark(int slot) const { return file("child-" + std::to_string(slot) + ".pid"); }
-  Held& held(int slot) { return held_.at(static_cast<std::size_t>(slot)); }
+  std::string file(const std::string& name) const { return options_.folder + '/' + name; }
+  std::string control_socket_path(int slot) const { return file("child-" + std::to_string(slot) + ".sock"); }
+  std::string pid_file(int slot) const { return file("child-" + std::to_string(slot) + ".pid"); }
+  ChildProcess& child_process(int slot) { return child_processes_.at(static_cast<std::size_t>(slot)); }
 
-  // Begin ------------------------------------------------------------------------------------------------
+  // Start -------------------------------------------------------------------------------------------------
 
-  net::Socket begin() {
-    for (const char* name : {"", "/tmp", "/versions"}) fs::create_directories(setup_.folder + name);
+  net::Socket open_folder() {
+    for (const char* name : {"", "/tmp", "/versions"}) fs::create_directories(options_.folder + name);
     lock_ = park::Fd(::open(file("lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
     if (!lock_ || ::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0)
-      throw std::runtime_error(setup_.folder + ": another supervisor runs here");
-    const core::Config config = core::load_config(setup_.config);
+      throw std::runtime_error(options_.folder + ": another supervisor runs in this folder");
+    const core::Config config = core::load_config(options_.config);
     if (!config.management.empty())
-      throw std::runtime_error(setup_.config +
-                               ": names a second address; supervise.management does, one for each child");
+      throw std::runtime_error(
+          options_.config +
+          ": must not set a management address; supervise.management sets one for each child");
     history_ =
         park::Fd(::open(file("history.jsonl").c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
     const state::Read read = file_.read();
     if (!read.trouble.empty()) core::log_line("supervise: " + read.trouble);
     if (read.text) {
-      core_ = Core::from(*read.text, setup_.limits);
+      core_ = Core::from(*read.text, options_.limits);
     } else {
-      Version first = versions_.take(setup_.program, setup_.settings);
-      first.kin = core::kKinVersion;
-      core_ = Core(first, setup_.limits);
+      Version first = versions_.copy(options_.program, options_.settings);
+      first.protocol_version = core::kKinVersion;
+      core_ = Core(first, options_.limits);
     }
-    return net::Socket::listen_at(net::Address(setup_.control));
+    return net::Socket::listen_at(net::Address(options_.control));
   }
 
   void save_or_throw() {
     file_.write(core_.text());
-    saved_ = core_.text();
+    stored_state_ = core_.text();
   }
 
-  // Those of a former life. The socket comes back from the one that leads; without one it is opened anew.
+  // Finds the children of a previous supervisor. The active one passes the listening socket back; without any
+  // child it is opened anew.
   void find_children() {
-    bool any = false;
+    bool found_child = false;
     for (int slot = 0; slot < Core::kSlots; ++slot) {
-      Process process;
-      std::string id;
-      std::ifstream(mark(slot)) >> process.pid >> process.start >> id;
-      if (!lives(process)) continue;
-      any = true;
-      held(slot) = {process, false, false, 0};
-      Version version = core_.wanted();
-      for (const auto& one : {std::optional(core_.good()), core_.candidate(), core_.before()})
-        if (one && one->id == id) version = *one;
+      ProcessId process;
+      std::string version_id;
+      std::ifstream(pid_file(slot)) >> process.pid >> process.start_ticks >> version_id;
+      if (!is_running(process)) continue;
+      found_child = true;
+      child_process(slot) = {process, false, false, 0};
+      Version version = core_.desired();
+      for (const auto& known : {std::optional(core_.last_good()), core_.candidate(), core_.previous()})
+        if (known && known->id == version_id) version = *known;
       core_.adopt(clock_.now(), slot, version);
-      net::Tethered found = net::reach(tether(slot), kTetherMs);
-      if (found.pid == process.pid && found.listener) listener_ = std::move(found.listener);
-      core::log_line("supervise: found process " + std::to_string(process.pid) + " of version " + id +
+      net::Tethered connection = net::reach(control_socket_path(slot), kControlSocketTimeoutMs);
+      if (connection.pid == process.pid && connection.listener) listener_ = std::move(connection.listener);
+      core::log_line("supervise: found process " + std::to_string(process.pid) + " of version " + version_id +
                      (listener_ ? "" : ", which cannot give the listening socket back"));
-      note({{"what", "found"}, {"slot", slot}, {"pid", process.pid}, {"version", id}});
+      append_history({{"what", "found"}, {"slot", slot}, {"pid", process.pid}, {"version", version_id}});
     }
-    if (!any) listen();
-    core_.set_socket(static_cast<bool>(listener_));
+    if (!found_child) listen();
+    core_.set_has_socket(static_cast<bool>(listener_));
   }
 
   void listen() {
-    listener_ = net::Socket::listen_at(net::Address(setup_.listen));
-    core_.set_socket(true);
+    listener_ = net::Socket::listen_at(net::Address(options_.listen));
+    core_.set_has_socket(true);
   }
 
-  // Children ---------------------------------------------------------------------------------------------
+  // Children ----------------------------------------------------------------------------------------------
 
-  // It waits for its mark to be written: a supervisor that dies in between leaves no child that nobody knows.
+  // The child waits until its pid file is written, so that a supervisor that dies in between does not leave
+  // an unknown child.
   void start(int slot, const Version& version) {
     std::array<int, 2> gate{};
-    if (::pipe2(gate.data(), O_CLOEXEC) != 0) return begin_failed(slot, errno);
-    const park::Fd wait(gate[0]);
-    park::Fd go(gate[1]);
-    std::vector<std::string> words{version.program, "serve", "--config", setup_.config};
-    if (!version.settings.empty()) words.insert(words.end(), {"--operator", version.settings});
-    const std::map<std::string, std::string> sets{
+    if (::pipe2(gate.data(), O_CLOEXEC) != 0) return handle_start_failure(slot, errno);
+    const park::Fd gate_reader(gate[0]);
+    park::Fd gate_writer(gate[1]);
+    std::vector<std::string> arguments{version.program, "serve", "--config", options_.config};
+    if (!version.settings.empty()) arguments.insert(arguments.end(), {"--operator", version.settings});
+    const std::map<std::string, std::string> environment{
         {"TMPDIR", file("tmp")},
-        {"ROUTER_PASSED_SOCKET", std::to_string(kPassedSocket)},
-        {"ROUTER_MANAGEMENT", setup_.management.at(static_cast<std::size_t>(slot))},
-        {"WOADTIDE_TETHER", tether(slot)},
+        {"ROUTER_PASSED_SOCKET", std::to_string(kPassedSocketFd)},
+        {"ROUTER_MANAGEMENT", options_.management_addresses.at(static_cast<std::size_t>(slot))},
+        {"WOADTIDE_TETHER", control_socket_path(slot)},
         {"WOADTIDE_OPERATOR", ""}};
-    const pid_t pid = spawn(words, sets, listener_.fd(), -1, wait.get(), go.get());
-    if (pid < 0) return begin_failed(slot, errno);
-    held(slot) = {{pid, start_of(pid)}, true, false, 0};
-    std::ofstream(mark(slot)) << pid << ' ' << held(slot).process.start << ' ' << version.id << '\n';
-    note({{"what", "start"}, {"slot", slot}, {"pid", pid}, {"version", version.id}});
+    const pid_t pid = spawn(arguments, environment, listener_.fd(), -1, gate_reader.get(), gate_writer.get());
+    if (pid < 0) return handle_start_failure(slot, errno);
+    child_process(slot) = {{pid, start_ticks_of(pid)}, true, false, 0};
+    std::ofstream(pid_file(slot)) << pid << ' ' << child_process(slot).id.start_ticks << ' ' << version.id
+                                  << '\n';
+    append_history({{"what", "start"}, {"slot", slot}, {"pid", pid}, {"version", version.id}});
     core::log_line("supervise: process " + std::to_string(pid) + " starts, version " + version.id);
-    if (::write(go.get(), "g", 1) != 1) core::log_line("supervise: a child ended at once");
+    if (::write(gate_writer.get(), "g", 1) != 1)
+      core::log_line("supervise: a child ended before its program was started");
   }
-  void begin_failed(int slot, int error) {
-    core::log_line("supervise: no child: " + std::generic_category().message(error));
-    held(slot) = {};
-    unborn_ = slot;
+  void handle_start_failure(int slot, int error) {
+    core::log_line("supervise: cannot start a child: " + std::generic_category().message(error));
+    child_process(slot) = {};
+    failed_start_slot_ = slot;
   }
 
-  // This process has one thread, so a fork may be followed by more than an exec. `socket` becomes descriptor
-  // kPassedSocket, `out` standard output; `wait`: before the exec, a byte has to come there.
-  static pid_t spawn(const std::vector<std::string>& words, const std::map<std::string, std::string>& sets,
-                     int socket, int out, int wait, int go) {
+  // This process has a single thread, so more than an exec may follow the fork. `passed_socket` becomes
+  // descriptor kPassedSocketFd, `output` standard output and error; the child waits for a byte on `gate`
+  // before the exec.
+  static pid_t spawn(const std::vector<std::string>& arguments,
+                     const std::map<std::string, std::string>& environment, int passed_socket, int output,
+                     int gate, int gate_writer) {
     const pid_t pid = ::fork();
     if (pid != 0) return pid;
-    if (go >= 0) ::close(go);
+    if (gate_writer >= 0) ::close(gate_writer);
     char byte = 0;
-    if (wait >= 0 && ::read(wait, &byte, 1) != 1) ::_exit(1);
+    if (gate >= 0 && ::read(gate, &byte, 1) != 1) ::_exit(1);
     sigset_t none;
     sigemptyset(&none);
     ::sigprocmask(SIG_SETMASK, &none, nullptr);
-    if (out >= 0) ::dup2(out, STDOUT_FILENO);
-    if (out >= 0) ::dup2(out, STDERR_FILENO);
-    if (socket == kPassedSocket) ::fcntl(socket, F_SETFD, 0);
-    if (socket >= 0 && socket != kPassedSocket) ::dup2(socket, kPassedSocket);
-    for (const auto& [name, value] : sets)
+    if (output >= 0) ::dup2(output, STDOUT_FILENO);
+    if (output >= 0) ::dup2(output, STDERR_FILENO);
+    if (passed_socket == kPassedSocketFd) ::fcntl(passed_socket, F_SETFD, 0);
+    if (passed_socket >= 0 && passed_socket != kPassedSocketFd) ::dup2(passed_socket, kPassedSocketFd);
+    for (const auto& [name, value] : environment)
       value.empty() ? ::unsetenv(name.c_str()) : ::setenv(name.c_str(), value.c_str(), 1);
-    std::vector<char*> arguments;
-    for (const std::string& word : words) arguments.push_back(const_cast<char*>(word.c_str()));
-    arguments.push_back(nullptr);
-    ::execv(arguments[0], arguments.data());
+    std::vector<char*> argv;
+    for (const std::string& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
+    argv.push_back(nullptr);
+    ::execv(argv[0], argv.data());
     ::_exit(127);
   }
 
-  void carry_out(const Effects& effects) {
+  void execute(const Effects& effects) {
     for (const Effect& effect : effects) {
-      const pid_t pid = held(effect.slot).process.pid;
+      const pid_t pid = child_process(effect.slot).id.pid;
       switch (effect.kind) {
         case Effect::Kind::start:
           start(effect.slot, effect.version);
           break;
         case Effect::Kind::term:
-          if (lives(held(effect.slot).process)) ::kill(pid, SIGTERM);
+          if (is_running(child_process(effect.slot).id)) ::kill(pid, SIGTERM);
           break;
         case Effect::Kind::kill:
-          if (lives(held(effect.slot).process)) ::kill(pid, SIGKILL);
+          if (is_running(child_process(effect.slot).id)) ::kill(pid, SIGKILL);
           break;
         case Effect::Kind::examine:
           examine(effect);
@@ -297,338 +309,359 @@
     }
   }
 
-  // Outside of orders a state that cannot be written does not keep the dispatcher from being looked after.
-  void apply(const std::function<Effects()>& event) {
+  // Applies an event and executes its effects. Except for orders, a state that cannot be written must not
+  // stop the supervision.
+  void apply_event(const std::function<Effects()>& event) {
     Effects effects = event();
     try {
-      if (core_.text() != saved_) save_or_throw();
-      unsaved_ = false;
-    } catch (const std::exception& failed) {
-      if (!std::exchange(unsaved_, true)) core::log_line(std::string("supervise: ") + failed.what());
+      if (core_.text() != stored_state_) save_or_throw();
+      save_failed_ = false;
+    } catch (const std::exception& error) {
+      if (!std::exchange(save_failed_, true)) core::log_line(std::string("supervise: ") + error.what());
     }
-    carry_out(effects);
-    if (unborn_ >= 0) {
-      const int slot = std::exchange(unborn_, -1);
-      apply([&] { return core_.ended(clock_.now(), slot); });
+    execute(effects);
+    if (failed_start_slot_ >= 0) {
+      const int slot = std::exchange(failed_start_slot_, -1);
+      apply_event([&] { return core_.on_exit(clock_.now(), slot); });
     }
   }
 
-  void look_after() {
+  void poll_children() {
     for (int status = 0; const pid_t pid = ::waitpid(-1, &status, WNOHANG);) {
       if (pid < 0) break;
       if (examination_ && pid == examination_->pid) {
-        examined(status);
+        finish_examination_step(status);
         continue;
       }
       for (int slot = 0; slot < Core::kSlots; ++slot)
-        if (held(slot).process.pid == pid) gone(slot, status);
+        if (child_process(slot).id.pid == pid) handle_exit(slot, status);
     }
     for (int slot = 0; slot < Core::kSlots; ++slot) {
-      if (held(slot).process.pid > 0 && !held(slot).ours && !lives(held(slot).process)) gone(slot, -1);
-      if (held(slot).process.pid > 0) ask(slot);
+      if (child_process(slot).id.pid > 0 && !child_process(slot).is_child &&
+          !is_running(child_process(slot).id))
+        handle_exit(slot, -1);
+      if (child_process(slot).id.pid > 0) probe(slot);
     }
-    if (!listener_ && !core_.over() && held(0).process.pid == 0 && held(1).process.pid == 0) try_listen();
-    if (examination_ && clock_.now() >= examination_->until) ::kill(examination_->pid, SIGKILL);
-    apply([&] { return core_.tick(clock_.now()); });
+    if (!listener_ && !core_.shutdown_complete() && child_process(0).id.pid == 0 &&
+        child_process(1).id.pid == 0)
+      try_listen();
+    if (examination_ && clock_.now() >= examination_->deadline) ::kill(examination_->pid, SIGKILL);
+    apply_event([&] { return core_.tick(clock_.now()); });
   }
   void try_listen() {
     try {
       listen();
-    } catch (const std::system_error&) {  // the next turn tries again
+    } catch (const std::system_error&) {  // tried again in the next cycle
     }
   }
 
-  void gone(int slot, int status) {
-    const pid_t pid = std::exchange(held(slot), {}).process.pid;
-    const Stands stood = core_.child(slot).stands;
+  void handle_exit(int slot, int status) {
+    const pid_t pid = std::exchange(child_process(slot), {}).id.pid;
+    const ChildState state = core_.child(slot).state;
     const std::string how = status < 0            ? "ended"
                             : WIFSIGNALED(status) ? "ended by signal " + std::to_string(WTERMSIG(status))
                                                   : "ended with " + std::to_string(WEXITSTATUS(status));
     core::log_line("supervise: process " + std::to_string(pid) + ' ' + how +
-                   (stood == Stands::serving ? ", unordered" : ""));
-    note({{"what", "gone"},
-          {"slot", slot},
-          {"pid", pid},
-          {"unordered", stood == Stands::serving},
-          {"how", how}});
-    fs::remove(mark(slot));
-    apply([&] { return core_.ended(clock_.now(), slot); });
+                   (state == ChildState::serving ? ", unordered" : ""));
+    append_history({{"what", "gone"},
+                    {"slot", slot},
+                    {"pid", pid},
+                    {"unordered", state == ChildState::serving},
+                    {"how", how}});
+    fs::remove(pid_file(slot));
+    apply_event([&] { return core_.on_exit(clock_.now(), slot); });
   }
 
-  // A child that answers at its second address serves, evacuated or not.
-  void ask(int slot) {
+  // Probes a child: once it answers at its management address it serves, evacuated or not.
+  void probe(int slot) {
     const Child& child = core_.child(slot);
-    Held& held = this->held(slot);
-    const bool starts = child.stands == Stands::starting;
-    if (!starts && child.stands != Stands::serving) return;
-    if (clock_.now() < held.asked_at + (starts ? kAskEveryMs : kLookEveryMs)) return;
-    const std::string& at = setup_.management.at(static_cast<std::size_t>(slot));
-    const auto answer = net::call(at, "readyz", kAnswerMs);
-    held.asked_at = clock_.now();
+    ChildProcess& process = child_process(slot);
+    const bool starting = child.state == ChildState::starting;
+    if (!starting && child.state != ChildState::serving) return;
+    if (clock_.now() < process.probed_at + (starting ? kStartingProbeMs : kServingProbeMs)) return;
+    const std::string& address = options_.management_addresses.at(static_cast<std::size_t>(slot));
+    const auto answer = net::call(address, "readyz", kChildCallTimeoutMs);
+    process.probed_at = clock_.now();
     if (!answer) return;
-    if (starts) {
-      note({{"what", "serves"}, {"slot", slot}, {"pid", held.process.pid}, {"version", child.version.id}});
-      sync(slot);  // before its predecessor is told to end
-      apply([&] { return core_.serves(clock_.now(), slot); });
-      if (core_.progress() == Core::Progress::done) forget_versions();
-    } else if (!held.synced) {
-      sync(slot);
-    } else if (const bool out = *answer != "done ready"; out != core_.evacuated()) {
-      core_.evacuate(out);  // somebody said so there
+    if (starting) {
+      append_history(
+          {{"what", "serves"}, {"slot", slot}, {"pid", process.id.pid}, {"version", child.version.id}});
+      send_operator_state(slot);  // before its predecessor is told to stop
+      apply_event([&] { return core_.serves(clock_.now(), slot); });
+      if (core_.progress() == Core::Progress::done) remove_unused_versions();
+    } else if (!process.operator_state_sent) {
+      send_operator_state(slot);
+    } else if (const bool evacuated = *answer != "done ready"; evacuated != core_.evacuated()) {
+      core_.set_evacuated(evacuated);  // set by an operator directly at the child
     }
   }
-  void sync(int slot) {
-    const std::string& at = setup_.management.at(static_cast<std::size_t>(slot));
-    bool all = true;
-    if (core_.evacuated()) all = net::call(at, "evacuate", kAnswerMs).has_value();
-    for (const std::string& worker : core_.excluded()) {
-      const auto said = net::call(at, "exclude " + worker, kAnswerMs);
-      all = all && said && said->starts_with("done");
+  void send_operator_state(int slot) {
+    const std::string& address = options_.management_addresses.at(static_cast<std::size_t>(slot));
+    bool all_confirmed = true;
+    if (core_.evacuated()) all_confirmed = net::call(address, "evacuate", kChildCallTimeoutMs).has_value();
+    for (const std::string& worker : core_.excluded_workers()) {
+      const auto answer = net::call(address, "exclude " + worker, kChildCallTimeoutMs);
+      all_confirmed = all_confirmed && answer && answer->starts_with("done");
     }
-    held(slot).synced = all;
+    child_process(slot).operator_state_sent = all_confirmed;
   }
 
-  void forget_versions() {
-    std::vector<std::string> ids{core_.wanted().id, core_.good().id};
-    for (const auto& one : {core_.candidate(), core_.before()})
-      if (one) ids.push_back(one->id);
+  void remove_unused_versions() {
+    std::vector<std::string> ids{core_.desired().id, core_.last_good().id};
+    for (const auto& version : {core_.candidate(), core_.previous()})
+      if (version) ids.push_back(version->id);
     for (int slot = 0; slot < Core::kSlots; ++slot) ids.push_back(core_.child(slot).version.id);
     versions_.keep_only(ids);
   }
 
-  // Looking at a version: what it says of itself, then whether the files are good for it.
+  // Examines a version in two steps: it is asked for its protocol version, then whether the files are valid
+  // for it.
   void examine(const Effect& effect) {
-    Examination look;
-    look.number = effect.number;
-    std::string why;
+    Examination examination;
+    examination.number = effect.number;
+    std::string failure;
     try {
-      look.version = versions_.take(effect.program, effect.settings);
-    } catch (const std::exception& wrong) {
-      why = wrong.what();
+      examination.version = versions_.copy(effect.program, effect.settings);
+    } catch (const std::exception& error) {
+      failure = error.what();
     }
-    if (!why.empty()) return apply([&] { return core_.examined(clock_.now(), look.number, {}, why); });
+    if (!failure.empty())
+      return apply_event([&] { return core_.on_examined(clock_.now(), examination.number, {}, failure); });
     if (examination_) ::kill(examination_->pid, SIGKILL);
-    examination_ = std::move(look);
-    run_look({examination_->version.program, "version", "--json"});
+    examination_ = std::move(examination);
+    run_examination_step({examination_->version.program, "version", "--json"});
   }
-  void run_look(const std::vector<std::string>& words) {
-    const park::Fd out(::open(file("look.txt").c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-    examination_->pid = spawn(words, {{"WOADTIDE_OPERATOR", ""}, {"ROUTER_MANAGEMENT", ""}, {"TMPDIR", ""}},
-                              -1, out.get(), -1, -1);
-    examination_->until = clock_.now() + kExamineMs;
+  void run_examination_step(const std::vector<std::string>& arguments) {
+    const park::Fd output(::open(file("look.txt").c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+    examination_->pid =
+        spawn(arguments, {{"WOADTIDE_OPERATOR", ""}, {"ROUTER_MANAGEMENT", ""}, {"TMPDIR", ""}}, -1,
+              output.get(), -1, -1);
+    examination_->deadline = clock_.now() + kExaminationTimeoutMs;
   }
-  void examined(int status) {
-    Examination& look = *examination_;
-    const bool good = WIFEXITED(status) && WEXITSTATUS(status) == 0;
-    std::string why;
-    if (!look.checking) {
-      // A program of before versions were told does not know the word.
-      const json said = json::parse(last_line(file("look.txt")), nullptr, false);
-      const bool refused = WIFEXITED(status) && WEXITSTATUS(status) == 2;
-      if (good && said.is_object()) look.version.kin = said.value("kin", 1);
-      if (!good && !refused) why = "it cannot say its version";
-      const int mine = core_.wanted().kin;
-      if (std::abs(look.version.kin - mine) > 1)
-        why = "it speaks version " + std::to_string(look.version.kin) +
-              " to the process that runs, which speaks " + std::to_string(mine) + ": one step is the most";
-      if (why.empty()) {
-        look.checking = true;
-        std::vector<std::string> words{look.version.program, "check-config", "--config", setup_.config};
-        if (!look.version.settings.empty()) words.insert(words.end(), {"--operator", look.version.settings});
-        return run_look(words);
+  void finish_examination_step(int status) {
+    Examination& examination = *examination_;
+    const bool succeeded = WIFEXITED(status) && WEXITSTATUS(status) == 0;
+    std::string failure;
+    if (!examination.checking_config) {
+      // A program from before protocol versions does not know the command and exits with 2.
+      const json version_report = json::parse(last_line(file("look.txt")), nullptr, false);
+      const bool unknown_command = WIFEXITED(status) && WEXITSTATUS(status) == 2;
+      if (succeeded && version_report.is_object())
+        examination.version.protocol_version = version_report.value("kin", 1);
+      if (!succeeded && !unknown_command) failure = "the program cannot report its version";
+      const int running_version = core_.desired().protocol_version;
+      if (std::abs(examination.version.protocol_version - running_version) > 1)
+        failure = "the program has protocol version " + std::to_string(examination.version.protocol_version) +
+                  ", the running process has " + std::to_string(running_version) +
+                  "; they may differ by one at most";
+      if (failure.empty()) {
+        examination.checking_config = true;
+        std::vector<std::string> arguments{examination.version.program, "check-config", "--config",
+                                           options_.config};
+        if (!examination.version.settings.empty())
+          arguments.insert(arguments.end(), {"--operator", examination.version.settings});
+        return run_examination_step(arguments);
       }
-    } else if (!good) {
-      why = last_line(file("look.txt"));
-      if (why.empty()) why = "check-config did not end well";
+    } else if (!succeeded) {
+      failure = last_line(file("look.txt"));
+      if (failure.empty()) failure = "check-config failed";
     }
-    const Examination done = *std::exchange(examination_, std::nullopt);
-    apply([&] { return core_.examined(clock_.now(), done.number, done.version, why); });
+    const Examination finished = *std::exchange(examination_, std::nullopt);
+    apply_event([&] { return core_.on_examined(clock_.now(), finished.number, finished.version, failure); });
   }
 
-  // Callers ----------------------------------------------------------------------------------------------
+  // Connections -------------------------------------------------------------------------------------------
 
-  void wait(int told) {
-    std::vector<pollfd> all{{told, POLLIN, 0}, {control_.fd(), POLLIN, 0}};
-    for (const Caller& caller : callers_) all.push_back({caller.socket.fd(), POLLIN, 0});
-    ::poll(all.data(), all.size(), kTurnMs);
-    if (all[1].revents) accept();
-    for (Caller& caller : callers_) go_on(caller);
-    callers_.remove_if([](const Caller& caller) { return caller.over; });
+  void wait_for_events(int signal_fd) {
+    std::vector<pollfd> polled{{signal_fd, POLLIN, 0}, {control_.fd(), POLLIN, 0}};
+    for (const Connection& connection : connections_) polled.push_back({connection.socket.fd(), POLLIN, 0});
+    ::poll(polled.data(), polled.size(), kPollIntervalMs);
+    if (polled[1].revents) accept_pending();
+    for (Connection& connection : connections_) serve_connection(connection);
+    connections_.remove_if([](const Connection& connection) { return connection.closed; });
   }
-  void accept() {
+  void accept_pending() {
     net::Socket socket{park::Fd(::accept4(control_.fd(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK))};
     if (!socket) return;
-    if (callers_.size() == kMostCallers) callers_.pop_front();
-    callers_.push_back({std::move(socket), {}, {}, clock_.now()});
+    if (connections_.size() == kMaxConnections) connections_.pop_front();
+    connections_.push_back({std::move(socket), {}, {}, clock_.now()});
   }
-  void go_on(Caller& caller) {
-    std::array<char, 4096> some{};
+  void serve_connection(Connection& connection) {
+    std::array<char, 4096> received{};
     std::size_t got = 0;
     net::Io io = net::Io::done;
-    while ((io = caller.socket.receive(some.data(), some.size(), got)) == net::Io::done)
-      if (!caller.answered) caller.come.append(some.data(), got);
-    if (const std::size_t end = caller.come.find('\n'); !caller.answered && end != std::string::npos) {
-      caller.answered = true;
-      caller.answer = answer(caller.come.substr(0, end)) + '\n';
-      caller.since = clock_.now();
+    while ((io = connection.socket.receive(received.data(), received.size(), got)) == net::Io::done)
+      if (!connection.answered) connection.input.append(received.data(), got);
+    if (const std::size_t end = connection.input.find('\n');
+        !connection.answered && end != std::string::npos) {
+      connection.answered = true;
+      connection.output = handle_request(connection.input.substr(0, end)) + '\n';
+      connection.started_at = clock_.now();
     }
-    if (caller.answered && !caller.answer.empty()) {
-      caller.answer.erase(0, caller.socket.send_some({caller.answer}));
-      if (caller.answer.empty()) caller.socket.shut(SHUT_WR);
+    if (connection.answered && !connection.output.empty()) {
+      connection.output.erase(0, connection.socket.send_some({connection.output}));
+      if (connection.output.empty()) connection.socket.shut(SHUT_WR);
     }
-    caller.over = io == net::Io::broken || (io == net::Io::ended && caller.answer.empty()) ||
-                  clock_.now() > caller.since + kCallerMs || caller.come.size() > kMostLine;
+    connection.closed = io == net::Io::broken || (io == net::Io::ended && connection.output.empty()) ||
+                        clock_.now() > connection.started_at + kConnectionTimeoutMs ||
+                        connection.input.size() > kMaxRequestBytes;
   }
 
-  std::string answer(const std::string& line) {
+  std::string handle_request(const std::string& line) {
     const std::size_t space = std::min(line.find(' '), line.size());
-    const std::string call = line.substr(0, space), rest = line.substr(std::min(space + 1, line.size()));
+    const std::string command = line.substr(0, space),
+                      argument = line.substr(std::min(space + 1, line.size()));
     try {
-      if (call == "status" && rest.empty()) return "done " + status().dump();
-      if (call == "figures" && rest.empty()) return figures();
-      if (call == "order") return order(json::parse(rest));
-      if ((call == "evacuate" || call == "activate") && rest.empty()) return evacuate(call == "evacuate");
-      if ((call == "exclude" || call == "include") && !rest.empty()) return exclude(call, rest);
-    } catch (const std::exception& wrong) {
-      return std::string("error ") + wrong.what();
+      if (command == "status" && argument.empty()) return "done " + status().dump();
+      if (command == "figures" && argument.empty()) return statistics();
+      if (command == "order") return accept_order(json::parse(argument));
+      if ((command == "evacuate" || command == "activate") && argument.empty())
+        return set_evacuated(command == "evacuate");
+      if ((command == "exclude" || command == "include") && !argument.empty())
+        return set_excluded(command, argument);
+    } catch (const std::exception& error) {
+      return std::string("error ") + error.what();
     }
-    return "error no such call";
+    return "error unknown command";
   }
 
-  std::string order(const json& said) {
+  std::string accept_order(const json& request) {
     Order order;
-    const auto kind = order_kind_of(said.at("kind"));
-    if (!kind) return "error no such order";
+    const auto kind = order_kind_from(request.at("kind"));
+    if (!kind) return "error unknown order";
     order.kind = *kind;
-    order.controller = said.at("controller");
-    order.change = said.at("change");
-    order.number = said.at("number");
-    order.program = said.value("program", "");
-    order.settings = said.value("settings", "");
-    order.take_over = said.value("take_over", false);
-    if (order.kind == Order::Kind::check && order.program.empty()) order.program = core_.wanted().program;
-    Core tried = core_;
+    order.controller = request.at("controller");
+    order.change = request.at("change");
+    order.number = request.at("number");
+    order.program = request.value("program", "");
+    order.settings = request.value("settings", "");
+    order.take_over = request.value("take_over", false);
+    if (order.kind == Order::Kind::check && order.program.empty()) order.program = core_.desired().program;
+    Core updated = core_;
     Effects effects;
-    const std::string why = tried.ordered(clock_.now(), order, effects);
+    const std::string why = updated.handle_order(clock_.now(), order, effects);
     if (!why.empty()) return "error " + why;
-    const std::string text = tried.text();
-    if (text != saved_) {
-      file_.write(text);  // what cannot be kept is not taken
-      saved_ = text;
+    const std::string text = updated.text();
+    if (text != stored_state_) {
+      file_.write(text);  // an order that cannot be stored is not accepted
+      stored_state_ = text;
     }
-    core_ = std::move(tried);
-    note({{"what", "order"},
-          {"kind", word_of(order.kind)},
-          {"number", order.number},
-          {"change", order.change}});
-    carry_out(effects);
-    if (order.kind == Order::Kind::keep_out && core_.lead() >= 0) sync(core_.lead());
+    core_ = std::move(updated);
+    append_history({{"what", "order"},
+                    {"kind", name_of(order.kind)},
+                    {"number", order.number},
+                    {"change", order.change}});
+    execute(effects);
+    if (order.kind == Order::Kind::keep_out && core_.active_slot() >= 0)
+      send_operator_state(core_.active_slot());
     return "done taken";
   }
 
-  std::string evacuate(bool out) {
-    core_.evacuate(out);
+  std::string set_evacuated(bool evacuated) {
+    core_.set_evacuated(evacuated);
     save_or_throw();
-    const int lead = core_.lead();
-    if (lead < 0) return "done";
-    held(lead).synced = false;
-    const auto said = net::call(setup_.management.at(static_cast<std::size_t>(lead)),
-                                out ? "evacuate" : "activate", kAnswerMs);
-    held(lead).synced = said.has_value();
-    return said ? "done" : "error it is not done yet";
+    const int active = core_.active_slot();
+    if (active < 0) return "done";
+    child_process(active).operator_state_sent = false;
+    const auto answer = net::call(options_.management_addresses.at(static_cast<std::size_t>(active)),
+                                  evacuated ? "evacuate" : "activate", kChildCallTimeoutMs);
+    child_process(active).operator_state_sent = answer.has_value();
+    return answer ? "done" : "error the child has not confirmed it yet";
   }
-  std::string exclude(const std::string& call, const std::string& worker) {
-    core_.exclude(worker, call == "exclude");
+  std::string set_excluded(const std::string& command, const std::string& worker) {
+    core_.exclude(worker, command == "exclude");
     save_or_throw();
-    const int lead = core_.lead();
-    if (lead < 0) return "done";
-    return net::call(setup_.management.at(static_cast<std::size_t>(lead)), call + ' ' + worker, kAnswerMs)
-        .value_or("error it is not done yet");
+    const int active = core_.active_slot();
+    if (active < 0) return "done";
+    return net::call(options_.management_addresses.at(static_cast<std::size_t>(active)),
+                     command + ' ' + worker, kChildCallTimeoutMs)
+        .value_or("error the child has not confirmed it yet");
   }
 
   json status() {
-    const int lead = core_.lead();
+    const int active = core_.active_slot();
     const auto id = [](const std::optional<Version>& version) {
       return version ? version->id : std::string();
     };
-    constexpr std::array<const char*, 4> kStands = {"none", "starting", "serving", "leaving"};
-    constexpr std::array<const char*, 4> kProgress = {"none", "working", "done", "failed"};
+    constexpr std::array<const char*, 4> kChildStateNames = {"none", "starting", "serving", "leaving"};
+    constexpr std::array<const char*, 4> kProgressNames = {"none", "working", "done", "failed"};
     json children = json::array();
     for (int slot = 0; slot < Core::kSlots; ++slot)
-      if (core_.child(slot).stands != Stands::none)
-        children.push_back({{"pid", held(slot).process.pid},
-                            {"version", core_.child(slot).version.id},
-                            {"stands", kStands[static_cast<std::size_t>(core_.child(slot).stands)]},
-                            {"management", setup_.management.at(static_cast<std::size_t>(slot))}});
-    return {{"name", setup_.name},
-            {"zone", setup_.zone},
-            {"serves", lead >= 0},
-            {"version", lead >= 0 ? core_.child(lead).version.id : ""},
-            {"pid", lead >= 0 ? held(lead).process.pid : 0},
-            {"since_ms", lead >= 0 ? clock_.now() - core_.child(lead).since : 0},
-            {"wanted", core_.wanted().id},
-            {"good", core_.good().id},
+      if (core_.child(slot).state != ChildState::none)
+        children.push_back(
+            {{"pid", child_process(slot).id.pid},
+             {"version", core_.child(slot).version.id},
+             {"stands", kChildStateNames[static_cast<std::size_t>(core_.child(slot).state)]},
+             {"management", options_.management_addresses.at(static_cast<std::size_t>(slot))}});
+    return {{"name", options_.name},
+            {"zone", options_.zone},
+            {"serves", active >= 0},
+            {"version", active >= 0 ? core_.child(active).version.id : ""},
+            {"pid", active >= 0 ? child_process(active).id.pid : 0},
+            {"since_ms", active >= 0 ? clock_.now() - core_.child(active).state_since : 0},
+            {"wanted", core_.desired().id},
+            {"good", core_.last_good().id},
             {"candidate", id(core_.candidate())},
-            {"before", id(core_.before())},
+            {"before", id(core_.previous())},
             {"controller", core_.controller()},
             {"change", core_.change()},
-            {"newest", core_.newest()},
-            {"progress", kProgress[static_cast<std::size_t>(core_.progress())]},
-            {"why", core_.why()},
-            {"fell_back", core_.fell_back()},
+            {"newest", core_.last_order_number()},
+            {"progress", kProgressNames[static_cast<std::size_t>(core_.progress())]},
+            {"why", core_.failure_reason()},
+            {"fell_back", core_.fallback_reason()},
             {"evacuated", core_.evacuated()},
-            {"excluded", core_.excluded()},
-            {"crashes", core_.crashes()},
+            {"excluded", core_.excluded_workers()},
+            {"crashes", core_.total_crashes()},
             {"children", std::move(children)}};
   }
 
-  std::string figures() {
-    const int lead = core_.lead();
-    if (lead < 0) return "error nobody serves";
-    const std::string& at = setup_.management.at(static_cast<std::size_t>(lead));
-    auto said = net::call(at, "figures", kAnswerMs);
+  std::string statistics() {
+    const int active = core_.active_slot();
+    if (active < 0) return "error no child serves";
+    const std::string& address = options_.management_addresses.at(static_cast<std::size_t>(active));
+    auto answer = net::call(address, "figures", kChildCallTimeoutMs);
     json classes;
-    if (said && said->starts_with("done ")) {
-      classes = json::parse(said->substr(5));
-    } else {  // a program of before there were any
-      said = net::call(at, "telemetry", kAnswerMs);
-      if (!said || !said->ends_with("\nend")) return "error no figures";
-      classes = json::parse(core::text_of(core::read_telemetry(*said)));
+    if (answer && answer->starts_with("done ")) {
+      classes = json::parse(answer->substr(5));
+    } else {  // an older program without this command
+      answer = net::call(address, "telemetry", kChildCallTimeoutMs);
+      if (!answer || !answer->ends_with("\nend")) return "error the child returned no statistics";
+      classes = json::parse(core::text_of(core::read_telemetry(*answer)));
     }
-    const pid_t pid = held(lead).process.pid;
+    const pid_t pid = child_process(active).id.pid;
     return "done " + json({{"pid", pid},
-                           {"version", core_.child(lead).version.id},
-                           {"crashes", core_.crashes()},
-                           {"memory_mb", memory_mb_of(pid)},
+                           {"version", core_.child(active).version.id},
+                           {"crashes", core_.total_crashes()},
+                           {"memory_mb", resident_mb_of(pid)},
                            {"cpu_ms", cpu_ms_of(pid)},
                            {"classes", std::move(classes)}})
                          .dump();
   }
 
-  void note(json line) {
+  void append_history(json line) {
     line["at_ms"] = clock_.now();
     const std::string text = line.dump() + '\n';
     if (::write(history_.get(), text.data(), text.size()) < 0)
-      return;  // it helps people, nothing hangs on it
+      return;  // the history is for operators only; nothing depends on it
   }
 
-  const Setup setup_;
+  const SupervisorOptions options_;
   core::Clock clock_;
   park::Fd lock_, history_;
   state::File file_;
   Versions versions_;
   Core core_{Version{}, Limits{}};
   net::Socket control_, listener_;
-  std::array<Held, Core::kSlots> held_;
+  std::array<ChildProcess, Core::kSlots> child_processes_;
   std::optional<Examination> examination_;
-  std::list<Caller> callers_;
-  std::string saved_;
-  bool unsaved_ = false;
-  int unborn_ = -1;  // a slot whose child could not be started
+  std::list<Connection> connections_;
+  std::string stored_state_;
+  bool save_failed_ = false;
+  int failed_start_slot_ = -1;  // a slot whose child could not be started
 };
 
 }  // namespace
 
-int run(const Setup& setup) { return Supervisor(setup).run(); }
+int run(const SupervisorOptions& options) { return Supervisor(options).run(); }
 
 }  // namespace woadtide::supervise
--- a/src/supervise/supervisor.hpp
+++ b/src/supervise/supervisor.hpp
@@ -1,5 +1,5 @@
-// The process around supervise::Core: it holds the socket where clients connect, starts and ends the
-// children, answers controllers and operators at its control address, and keeps its state on the disk.
+// The supervisor process around supervise::Core: it holds the socket where clients connect, starts and stops
+// the children, answers controllers and operators at its control address, and stores its state.
 #pragma once
 
 #include <string>
@@ -9,20 +9,20 @@
 
 namespace woadtide::supervise {
 
-struct Setup {
-  std::string name;                     // the dispatcher's
-  std::string zone;                     // for controllers
-  std::string config;                   // the platform's file for its children
-  std::string listen;                   // where clients connect
-  std::string control;                  // where controllers and operators call
-  std::vector<std::string> management;  // two second addresses, one for each child
-  std::string folder;                   // for state, copies of versions, tethers and logs
-  std::string program, settings;        // of the first start; settings: empty for none
+struct SupervisorOptions {
+  std::string name;                               // of the dispatcher
+  std::string zone;                               // reported to controllers
+  std::string config;                             // path of the platform's file for the children
+  std::string listen;                             // address where clients connect
+  std::string control;                            // address where controllers and operators connect
+  std::vector<std::string> management_addresses;  // two, one for each child
+  std::string folder;             // for the state, copies of versions, control sockets and logs
+  std::string program, settings;  // paths for the first start; settings: empty for none
   Limits limits;
 };
 
-// Runs until SIGTERM and the children's end; the exit code. Signals must be blocked. Throws
-// std::runtime_error, or std::system_error, where it cannot begin.
-int run(const Setup& setup);
+// Runs until SIGTERM has arrived and the children have ended; returns the exit code. Signals must be blocked
+// by the caller. Throws std::runtime_error or std::system_error if it cannot start.
+int run(const SupervisorOptions& options);
 
 }  // namespace woadtide::supervise
--- a/src/supervise/versions.cpp
+++ b/src/supervise/versions.cpp
@@ -28,32 +28,33 @@
 
 void write_synced(const fs::path& path, const std::string& bytes, int mode) {
   const park::Fd fd(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode));
-  bool good = static_cast<bool>(fd);
-  for (std::size_t at = 0; good && at < bytes.size();) {
-    const ssize_t went = ::write(fd.get(), bytes.data() + at, bytes.size() - at);
-    good = went > 0;
-    if (good) at += static_cast<std::size_t>(went);
+  bool ok = static_cast<bool>(fd);
+  for (std::size_t written = 0; ok && written < bytes.size();) {
+    const ssize_t result = ::write(fd.get(), bytes.data() + written, bytes.size() - written);
+    ok = result > 0;
+    if (ok) written += static_cast<std::size_t>(result);
   }
-  if (!good || ::fsync(fd.get()) != 0) throw std::runtime_error(path.string() + ": cannot be written");
+  if (!ok || ::fsync(fd.get()) != 0) throw std::runtime_error(path.string() + ": cannot be written");
 }
 
 }  // namespace
 
-Version Versions::take(const std::string& program, const std::string& settings) const {
-  const std::string code = contents(program), text = settings.empty() ? "" : contents(settings);
-  const std::string both = code + '\n' + settings.substr(0, 1) + text;
+Version Versions::copy(const std::string& program, const std::string& settings) const {
+  const std::string program_bytes = contents(program),
+                    settings_bytes = settings.empty() ? "" : contents(settings);
+  const std::string hashed = program_bytes + '\n' + settings.substr(0, 1) + settings_bytes;
   char id[17];
   std::snprintf(id, sizeof id, "%016" PRIx64,
-                static_cast<std::uint64_t>(XXH3_64bits(both.data(), both.size())));
-  const fs::path place = fs::path(folder_) / id, fresh = fs::path(folder_) / (std::string(id) + ".new");
-  Version version{id, place / "woadtide", settings.empty() ? "" : place / "operator.toml", 1};
-  if (fs::exists(place)) return version;
+                static_cast<std::uint64_t>(XXH3_64bits(hashed.data(), hashed.size())));
+  const fs::path folder = fs::path(folder_) / id, temporary = fs::path(folder_) / (std::string(id) + ".new");
+  Version version{id, folder / "woadtide", settings.empty() ? "" : folder / "operator.toml", 1};
+  if (fs::exists(folder)) return version;
   std::error_code ignored;
-  fs::remove_all(fresh, ignored);
-  fs::create_directories(fresh);
-  write_synced(fresh / "woadtide", code, 0700);
-  if (!settings.empty()) write_synced(fresh / "operator.toml", text, 0600);
-  fs::rename(fresh, place);  // whole, or not there
+  fs::remove_all(temporary, ignored);
+  fs::create_directories(temporary);
+  write_synced(temporary / "woadtide", program_bytes, 0700);
+  if (!settings.empty()) write_synced(temporary / "operator.toml", settings_bytes, 0600);
+  fs::rename(temporary, folder);  // atomic: the copy is complete or absent
   return version;
 }
 
--- a/src/supervise/versions.hpp
+++ b/src/supervise/versions.hpp
@@ -1,5 +1,5 @@
-// Copies of programs and their settings, by what they hold: a version can be gone back to though its files
-// were replaced meanwhile.
+// Copies of programs and their settings, addressed by content: a version can be started again although its
+// original files have been replaced.
 #pragma once
 
 #include <string>
@@ -12,9 +12,9 @@
 class Versions {
  public:
   explicit Versions(std::string folder) : folder_(std::move(folder)) {}
-  // Copies both files; nothing where the same are there. Throws std::runtime_error with one line.
-  Version take(const std::string& program, const std::string& settings) const;
-  // All but those: what was copied for a change that is over.
+  // Copies both files, unless a copy with the same contents exists. Throws std::runtime_error with one line.
+  Version copy(const std::string& program, const std::string& settings) const;
+  // Deletes all copies except those with the given ids.
   void keep_only(const std::vector<std::string>& ids) const;
 
  private:
