--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -7,21 +7,22 @@
 
 namespace options = boost::program_options;
 
-bool Arguments::read(const std::vector<std::string>& given, const std::string& usage, const std::string& what,
-                     std::size_t most_words) {
+bool Arguments::read(const std::vector<std::string>& given, const std::string& usage,
+                     const std::string& description, std::size_t max_words) {
   options.add_options()("help,h", "print this page");
-  options::options_description all(options);
-  all.add_options()("word", options::value(&words));
-  options::positional_options_description places;
-  places.add("word", -1);
+  options::options_description all_options(options);
+  all_options.add_options()("word", options::value(&words));
+  options::positional_options_description positional;
+  positional.add("word", -1);
   options::variables_map values;
-  options::store(options::command_line_parser(given).options(all).positional(places).run(), values);
+  options::store(options::command_line_parser(given).options(all_options).positional(positional).run(),
+                 values);
   options::notify(values);
   if (values.count("help")) {
-    std::cout << "Usage: woadtide " << usage << "\n\n" << what << "\n\n" << options;
+    std::cout << "Usage: woadtide " << usage << "\n\n" << description << "\n\n" << options;
     return false;
   }
-  if (words.size() > most_words) throw std::runtime_error("too many words: '" + words[most_words] + "'");
+  if (words.size() > max_words) throw std::runtime_error("too many arguments: '" + words[max_words] + "'");
   return true;
 }
 
--- a/src/cli/command_line.hpp
+++ b/src/cli/command_line.hpp
@@ -1,4 +1,4 @@
-// One sub-command's words: its own options and its own --help, and one line for what it does not know.
+// Command line of one sub-command: its own options and --help, and a one-line error for anything else.
 #pragma once
 
 #include <boost/program_options.hpp>
@@ -7,13 +7,15 @@
 
 namespace woadtide::cli {
 
+// The options and positional arguments of a sub-command. Add the options, then call read().
 struct Arguments {
   boost::program_options::options_description options{"Options"};
-  std::vector<std::string> words;  // what is no option
-  // False where --help was asked for, and printed: `usage`, what it does, and the options. Throws
-  // std::runtime_error or boost's own, with one line, for an unknown option or more than `most_words`.
-  bool read(const std::vector<std::string>& given, const std::string& usage, const std::string& what,
-            std::size_t most_words);
+  std::vector<std::string> words;  // positional arguments
+  // Parses `given`. Returns false if --help was given; then `usage`, `description` and the options
+  // have been printed. Throws std::runtime_error or an exception of Boost, with one line, for an unknown
+  // option or more than `max_words` positional arguments.
+  bool read(const std::vector<std::string>& given, const std::string& usage, const std::string& description,
+            std::size_t max_words);
 };
 
 }  // namespace woadtide::cli
--- a/src/cli/jobs_commands.cpp
+++ b/src/cli/jobs_commands.cpp
@@ -13,38 +13,43 @@
 
 namespace {
 
-constexpr double kPatienceMs = 5'000;
+constexpr double kCallTimeoutMs = 5'000;
 
-struct Said {
+struct Response {
   int status = 0;
   std::string body;
 };
 
-Said ask(const std::string& where, const std::string& method, const std::string& target,
-         const std::string& body) {
-  if (where.empty()) throw std::runtime_error("jobs.operators is not set in the operator's file");
+// Sends one HTTP request to the operators' address. Throws std::runtime_error if there is no complete
+// response.
+Response send_request(const std::string& address_text, const std::string& method, const std::string& target,
+                      const std::string& body) {
+  if (address_text.empty()) throw std::runtime_error("jobs.operators is not set in the operator's file");
   core::Clock clock;
-  const net::Address address(where);
+  const net::Address address(address_text);
   net::Socket socket = net::Socket::make(address);
-  if (!socket.connect(address, kPatienceMs)) throw std::runtime_error("nobody answers at " + where);
-  const double until = clock.now() + kPatienceMs;
-  const std::string head = method + ' ' + target + " HTTP/1.1\r\nHost: " + where +
+  if (!socket.connect(address, kCallTimeoutMs)) throw std::runtime_error("no answer from " + address_text);
+  const double deadline = clock.now() + kCallTimeoutMs;
+  const std::string head = method + ' ' + target + " HTTP/1.1\r\nHost: " + address_text +
                            "\r\nConnection: close\r\nContent-Length: " + std::to_string(body.size()) +
                            "\r\n\r\n";
-  if (socket.send({head, body}, until, clock) != net::Io::done)
-    throw std::runtime_error(where + " broke off");
-  std::string all;
-  std::vector<char> some(16'384);
+  if (socket.send({head, body}, deadline, clock) != net::Io::done)
+    throw std::runtime_error(address_text + " closed the connection early");
+  std::string received;
+  std::vector<char> buffer(16'384);
   std::size_t got = 0;
   net::Io io = net::Io::done;
-  while ((io = socket.receive(some.data(), some.size(), got, until, clock)) == net::Io::done)
-    all.append(some.data(), got);
-  const std::size_t length = net::head_length(all);
-  if (io != net::Io::ended || length == 0) throw std::runtime_error(where + " broke off");
-  return {net::read_answer_head(std::string_view(all).substr(0, length)).status, all.substr(length)};
+  while ((io = socket.receive(buffer.data(), buffer.size(), got, deadline, clock)) == net::Io::done)
+    received.append(buffer.data(), got);
+  const std::size_t length = net::head_length(received);
+  if (io != net::Io::ended || length == 0)
+    throw std::runtime_error(address_text + " closed the connection early");
+  return {net::read_answer_head(std::string_view(received).substr(0, length)).status,
+          received.substr(length)};
 }
 
-std::string time_of(double unix_ms) {
+// Formats milliseconds since the Unix epoch as UTC.
+std::string utc_time(double unix_ms) {
   const auto second = static_cast<std::time_t>(unix_ms / 1000);
   std::tm utc{};
   gmtime_r(&second, &utc);
@@ -53,84 +58,91 @@
   return text;
 }
 
-void print_line(const nlohmann::json& job) {
+void print_summary(const nlohmann::json& job) {
   std::cout << job.at("state").get<std::string>() << '\t' << job.at("key").get<std::string>() << '\t'
             << job.at("class").get<std::string>() << "\tepoch " << job.at("epoch") << '\t'
-            << time_of(job.at("changed")) << '\t' << job.at("worker").get<std::string>() << '\t'
+            << utc_time(job.at("changed")) << '\t' << job.at("worker").get<std::string>() << '\t'
             << job.at("why").get<std::string>() << '\n';
 }
 
-std::string escaped(const std::string& text) {
+// Returns `text` if it can be part of a URL without escaping.
+std::string checked_name(const std::string& text) {
   for (const char c : text)
     if (!net::is_token(std::string_view(&c, 1)) || c == '&' || c == '%')
-      throw std::runtime_error("a name is of letters, digits and -._~ here: '" + text + "'");
+      throw std::runtime_error("a name may contain only letters, digits and -._~: '" + text + "'");
   return text;
 }
 
 }  // namespace
 
-int jobs_command(const Words& words, const config::JobsPart& part) {
-  const std::string what = words.places.empty() ? "" : words.places[0];
+int jobs_command(const Words& arguments, const config::JobsPart& settings) {
+  const std::string command = arguments.places.empty() ? "" : arguments.places[0];
   const auto key = [&] {
-    if (words.places.size() != 2) throw std::runtime_error("jobs " + what + " wants one KEY");
-    return escaped(words.places[1]);
+    if (arguments.places.size() != 2) throw std::runtime_error("jobs " + command + " needs one KEY");
+    return checked_name(arguments.places[1]);
   };
-  Said said;
-  if (what == "list" && words.places.size() == 1) {
-    said = ask(part.operators, "GET", "/jobs" + (words.state.empty() ? "" : "?state=" + escaped(words.state)),
-               "");
-  } else if (what == "show") {
-    said = ask(part.operators, "GET", "/jobs/" + key() + "/record", "");
-  } else if (what == "settle") {
-    if (words.as.empty() || words.who.empty() || words.why.empty())
-      throw std::runtime_error("jobs settle KEY wants --as finished|failed, --who NAME and --why TEXT");
-    said =
-        ask(part.operators, "POST",
-            "/jobs/" + key() + "/settle?as=" + escaped(words.as) + "&who=" + escaped(words.who), words.why);
+  Response response;
+  if (command == "list" && arguments.places.size() == 1) {
+    response = send_request(
+        settings.operators, "GET",
+        "/jobs" + (arguments.state.empty() ? "" : "?state=" + checked_name(arguments.state)), "");
+  } else if (command == "show") {
+    response = send_request(settings.operators, "GET", "/jobs/" + key() + "/record", "");
+  } else if (command == "settle") {
+    if (arguments.as.empty() || arguments.who.empty() || arguments.why.empty())
+      throw std::runtime_error("jobs settle KEY needs --as finished|failed, --who NAME and --why TEXT");
+    response = send_request(
+        settings.operators, "POST",
+        "/jobs/" + key() + "/settle?as=" + checked_name(arguments.as) + "&who=" + checked_name(arguments.who),
+        arguments.why);
   } else {
-    throw std::runtime_error("jobs list [--state S], jobs show KEY or jobs settle KEY");
+    throw std::runtime_error("jobs: expected list [--state S], show KEY or settle KEY");
   }
-  if (said.status != 200) {
-    std::cerr << "woadtide: " << said.body;
+  if (response.status != 200) {
+    std::cerr << "woadtide: " << response.body;
     return 1;
   }
-  if (what == "settle") {
-    std::cout << said.body;
+  if (command == "settle") {
+    std::cout << response.body;
     return 0;
   }
-  std::size_t from = 0;
-  for (std::size_t end = 0; (end = said.body.find('\n', from)) != std::string::npos; from = end + 1) {
-    const auto job = nlohmann::json::parse(said.body.substr(from, end - from));
-    if (what == "list")
-      print_line(job);
+  std::size_t line_start = 0;
+  for (std::size_t line_end = 0; (line_end = response.body.find('\n', line_start)) != std::string::npos;
+       line_start = line_end + 1) {
+    const auto job = nlohmann::json::parse(response.body.substr(line_start, line_end - line_start));
+    if (command == "list")
+      print_summary(job);
     else
       std::cout << job.dump(2) << '\n';
   }
   return 0;
 }
 
-int store_command(const Words& words, const config::JobsPart& part) {
-  const std::string what = words.places.size() == 1 ? words.places[0] : "";
-  if (what != "check" && what != "compact") throw std::runtime_error("store check or store compact");
-  if (part.folder.empty()) throw std::runtime_error("jobs.folder is not set in the operator's file");
+int store_command(const Words& arguments, const config::JobsPart& settings) {
+  const std::string command = arguments.places.size() == 1 ? arguments.places[0] : "";
+  if (command != "check" && command != "compact")
+    throw std::runtime_error("store: expected check or compact");
+  if (settings.folder.empty()) throw std::runtime_error("jobs.folder is not set in the operator's file");
   store::Options options;
-  options.folder = part.folder;
-  options.most_bytes = static_cast<std::uint64_t>(part.most_mb) * 1'000'000;
+  options.folder = settings.folder;
+  options.most_bytes = static_cast<std::uint64_t>(settings.most_mb) * 1'000'000;
   store::Store store(options);
-  if (what == "check") {
-    std::cout << part.folder << ": good, " << store.check() << " jobs, " << store.bytes_used() << " bytes\n";
+  if (command == "check") {
+    std::cout << settings.folder << ": good, " << store.check() << " jobs, " << store.bytes_used()
+              << " bytes\n";
     return 0;
   }
-  const auto hours = static_cast<double>(words.keep_hours >= 0 ? words.keep_hours : part.keep_hours);
+  const auto hours =
+      static_cast<double>(arguments.keep_hours >= 0 ? arguments.keep_hours : settings.keep_hours);
   const double now = core::Clock().now();
   std::size_t dropped = 0, packed = 0;
   for (;;) {
-    const auto done = store.compact(now - hours * 3'600'000, 1'000);
-    dropped += done.dropped;
-    packed += done.packed;
-    if (done.dropped + done.packed == 0) break;
+    const auto result = store.compact(now - hours * 3'600'000, 1'000);
+    dropped += result.dropped;
+    packed += result.packed;
+    if (result.dropped + result.packed == 0) break;
   }
-  std::cout << part.folder << ": " << dropped << " jobs dropped, " << packed << " packed, "
+  std::cout << settings.folder << ": " << dropped << " jobs dropped, " << packed << " packed, "
             << store.bytes_used() << " bytes\n";
   return 0;
 }
--- a/src/cli/jobs_commands.hpp
+++ b/src/cli/jobs_commands.hpp
@@ -1,5 +1,5 @@
-// The sub-commands of durable jobs: `jobs list|show|settle` ask the running process at its operators'
-// address, `store check|compact` work on the file of one that does not run.
+// The sub-commands for durable jobs: `jobs list|show|settle` query the running process at its operators'
+// address, `store check|compact` work on the file of a dispatcher that does not run.
 #pragma once
 
 #include <string>
@@ -9,14 +9,15 @@
 
 namespace woadtide::cli {
 
-struct Words {  // of the command line, behind `jobs` or `store`
-  std::vector<std::string> places;
-  std::string state, as, who, why;
-  long long keep_hours = -1;  // below 0: as the file says
+// The command line after `jobs` or `store`.
+struct Words {
+  std::vector<std::string> places;  // positional arguments
+  std::string state, as, who, why;  // values of the options of the same names
+  long long keep_hours = -1;        // negative: as set in the file
 };
 
-// The exit code. Throws std::runtime_error with one line.
-int jobs_command(const Words& words, const config::JobsPart& part);
-int store_command(const Words& words, const config::JobsPart& part);
+// Both return the exit code and throw std::runtime_error with one line.
+int jobs_command(const Words& arguments, const config::JobsPart& settings);
+int store_command(const Words& arguments, const config::JobsPart& settings);
 
 }  // namespace woadtide::cli
--- a/src/cli/settings_commands.cpp
+++ b/src/cli/settings_commands.cpp
@@ -14,8 +14,8 @@
 
 using nlohmann::json;
 
-// All keys with their values, those that the file does not set too.
-std::map<std::string, json> flat(const config::OperatorFile& file) {
+// Returns all keys with their values, including defaults.
+std::map<std::string, json> flatten(const config::OperatorFile& file) {
   std::map<std::string, json> keys;
   const auto& jobs = file.jobs;
   keys = {{"format", file.format},
@@ -66,11 +66,11 @@
 
 }  // namespace
 
-std::vector<Changed> differences(const config::OperatorFile& one, const config::OperatorFile& other) {
+std::vector<Changed> differences(const config::OperatorFile& from, const config::OperatorFile& to) {
   std::vector<Changed> changed;
-  const auto from = flat(one), to = flat(other);
-  for (const auto& [key, value] : from)
-    if (value != to.at(key)) changed.push_back({key, value.dump(), to.at(key).dump()});
+  const auto old_values = flatten(from), new_values = flatten(to);
+  for (const auto& [key, value] : old_values)
+    if (value != new_values.at(key)) changed.push_back({key, value.dump(), new_values.at(key).dump()});
   return changed;
 }
 
@@ -80,38 +80,40 @@
   Arguments arguments;
   std::string path, against;
   bool as_json = false;
-  if (const char* told = std::getenv("WOADTIDE_OPERATOR")) path = told;
+  if (const char* value = std::getenv("WOADTIDE_OPERATOR")) path = value;
   arguments.options.add_options()("operator,o", boost::program_options::value(&path),
                                   "the operator's file, TOML; $WOADTIDE_OPERATOR")(
       "against", boost::program_options::value(&against), "diff: the other file")(
       "json", boost::program_options::bool_switch(&as_json), "one JSON object");
   if (!arguments.read(words, "settings show | diff --against FILE | check [options]",
-                      "What the operator's file sets.", 1))
+                      "Shows, compares or checks the settings in the operator's file.", 1))
     return 0;
-  const std::string what = arguments.words.empty() ? "" : arguments.words.front();
-  if (what != "show" && what != "diff" && what != "check")
-    throw std::runtime_error("settings: show, diff or check wanted");
+  const std::string command = arguments.words.empty() ? "" : arguments.words.front();
+  if (command != "show" && command != "diff" && command != "check")
+    throw std::runtime_error("settings: expected show, diff or check");
   if (path.empty()) throw std::runtime_error("no operator's file: give --operator or set WOADTIDE_OPERATOR");
   const config::OperatorFile file = config::load_operator_file(path);
-  if (what == "check") {
+  if (command == "check") {
     std::cout << path << ": good\n";
     return 0;
   }
-  json out = json::object();
-  if (what == "show") {
-    for (const auto& [key, value] : flat(file)) {
-      out[key] = value;
+  json output = json::object();
+  if (command == "show") {
+    for (const auto& [key, value] : flatten(file)) {
+      output[key] = value;
       if (!as_json) std::cout << key << " = " << value.dump() << '\n';
     }
   } else {
-    if (against.empty()) throw std::runtime_error("settings diff wants --against FILE");
-    for (const Changed& one : differences(file, config::load_operator_file(against))) {
-      const char* how = changes_live(one.key) ? "on SIGHUP" : "by the next process";
-      out[one.key] = {{"from", json::parse(one.from)}, {"to", json::parse(one.to)}, {"takes_hold", how}};
-      if (!as_json) std::cout << one.key << ": " << one.from << " -> " << one.to << " (" << how << ")\n";
+    if (against.empty()) throw std::runtime_error("settings diff needs --against FILE");
+    for (const Changed& change : differences(file, config::load_operator_file(against))) {
+      const char* takes_hold = changes_live(change.key) ? "on SIGHUP" : "by the next process";
+      output[change.key] = {
+          {"from", json::parse(change.from)}, {"to", json::parse(change.to)}, {"takes_hold", takes_hold}};
+      if (!as_json)
+        std::cout << change.key << ": " << change.from << " -> " << change.to << " (" << takes_hold << ")\n";
     }
   }
-  if (as_json) std::cout << out.dump(1) << '\n';
+  if (as_json) std::cout << output.dump(1) << '\n';
   return 0;
 }
 
--- a/src/cli/settings_commands.hpp
+++ b/src/cli/settings_commands.hpp
@@ -1,5 +1,5 @@
-// `settings show|diff|check`: what the operator's file sets, in what it differs from another one, and what of
-// that takes hold in service.
+// The sub-command `settings show|diff|check`: what the operator's file sets, how it differs from another one,
+// and which differences apply without a restart.
 #pragma once
 
 #include <string>
@@ -9,15 +9,16 @@
 
 namespace woadtide::cli {
 
+// A setting with different values in two files. `from` and `to` are JSON.
 struct Changed {
-  std::string key, from, to;
+  std::string key, from, to;  // key: such as "jobs.lease_ms"
 };
-// By key, as "jobs.lease_ms".
-std::vector<Changed> differences(const config::OperatorFile& one, const config::OperatorFile& other);
-// On SIGHUP; the others wait for a next process.
+// Returns all settings that differ, sorted by key.
+std::vector<Changed> differences(const config::OperatorFile& from, const config::OperatorFile& to);
+// Returns true if a change of `key` applies on SIGHUP; other changes apply when the next process starts.
 bool changes_live(const std::string& key);
 
-// The exit code. Throws std::runtime_error with one line.
+// Returns the exit code. Throws std::runtime_error with one line.
 int settings_command(const std::vector<std::string>& words);
 
 }  // namespace woadtide::cli
