--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -42,7 +42,7 @@
 namespace {
 
 constexpr int kStateFormat = 1;
-constexpr double kMaxCallMs = 800;
+constexpr double kMaxCallMs = 800;      // for a call to a supervisor
 constexpr double kDownAfterMs = 3'000;  // a supervisor without an answer for this long counts as down
 constexpr int kCommandTimeoutMs = 500;  // for a command over the folder's socket
 constexpr const char* kCommandSocketName = "ask";
@@ -84,6 +84,7 @@
   return standing;
 }
 
+// Parses a supervisor's answer to `figures`; nothing if it is not one.
 std::optional<Sample> read_sample(double now, const std::optional<std::string>& answer) {
   if (!answer || !answer->starts_with("done ")) return std::nullopt;
   try {
@@ -135,6 +136,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
+// Returns the rollout and its members as JSON, in the form of `status`.
 json describe(const Rollout& rollout, const std::map<std::string, Standing>& standings) {
   json members = json::object();
   for (const auto& member : rollout.plan().members) {
@@ -210,6 +212,7 @@
     if (id.empty()) id = random_id();
   }
 
+  // Restores the state. Throws std::runtime_error if it is malformed or does not fit the operator's file.
   void restore(const std::string& text) {
     const json object = json::parse(text, nullptr, false);
     try {
@@ -306,6 +309,7 @@
 
   // Control cycle -----------------------------------------------------------------------------------------
 
+  // Queries all supervisors, advances the rollout and sends the resulting orders.
   void run_cycle(const Controller::ProgressCallback& on_progress) {
     const double timeout_ms = std::min(rollout_settings.turn_ms, kMaxCallMs);
     const double queried_at = clock.now();
@@ -345,6 +349,8 @@
     }
   }
 
+  // Passes what a supervisor reports to the rollout: the result of an order, a fallback, or the version that
+  // runs. Pauses if another controller leads there.
   void process_status(const Standing& standing) {
     const double now = clock.now();
     const auto order = rollout->out(standing.name);
@@ -437,6 +443,7 @@
         rollout->answered(clock.now(), orders[i], false, calls[i].answer->substr(6));
     }
   }
+  // Returns true if the current plan, not only the operator's file, has the member.
   bool is_plan_member(const std::string& name) const {
     const auto& members = rollout->plan().members;
     return std::any_of(members.begin(), members.end(),
@@ -464,6 +471,7 @@
       report_progress(on_progress);
     }
   }
+  // Executes one command and returns its answer, a line.
   std::string handle_command(const std::string& line) {
     const std::size_t space = std::min(line.find(' '), line.size());
     const std::string command = line.substr(0, space),
@@ -568,7 +576,7 @@
       std::array<pollfd, 2> polled{{{signal_fd.get(), POLLIN, 0}, {state.command_socket.fd(), POLLIN, 0}}};
       ::poll(polled.data(), polled.size(), static_cast<int>(remaining_ms) + 1);
       if (polled[0].revents) {
-        if (on_progress) on_progress("ended by a signal; the rollout continues with `rollout resume`");
+        if (on_progress) on_progress("ended by a signal; no orders are sent until `rollout resume`");
         return state.rollout->phase();
       }
       if (polled[1].revents) state.accept_commands(on_progress);
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -47,8 +47,11 @@
   // `on_progress` with a line of text for each event. Returns the phase that was reached.
   using ProgressCallback = std::function<void(const std::string&)>;
   rollout::Phase run(const ProgressCallback& on_progress, bool until_paused);
+  // Continues a paused change. run() takes the next steps.
   void resume();
+  // Begins to roll the change back.
   void abort();
+  // The change must exist.
   const rollout::Rollout& rollout() const;
 
  private:
--- a/src/rollout/rollout.hpp
+++ b/src/rollout/rollout.hpp
@@ -74,19 +74,18 @@
   std::vector<Order> found(double now, const std::string& member, bool alive, bool runs_new);
   // The assessment of the current stage; `why` explains `worse`.
   std::vector<Order> judged(double now, Word word, const std::string& why);
+  // Operator command: pauses the rollout, without effect on a rollback. `why` may be empty.
+  void pause(const std::string& why);
   // A member's supervisor has left the new version on its own; rolls back as for `worse`.
   std::vector<Order> on_fallback(double now, const std::string& member, const std::string& why);
-
-  // Operator commands. A pause has no effect on a rollback.
-  void pause(const std::string& why);
-  std::vector<Order> resume(double now);
-  std::vector<Order> abort(double now);
-
   // Makes sure that new orders get numbers above `number`, which a supervisor has received from an earlier
   // state of the controller that is lost.
   void raise_order_number(std::uint64_t number) { last_order_number_ = std::max(last_order_number_, number); }
   // Returns the number of the latest order.
   std::uint64_t last_order_number() const { return last_order_number_; }
+  // Operator commands: continue after a pause; roll back.
+  std::vector<Order> resume(double now);
+  std::vector<Order> abort(double now);
   // Returns all orders without a result. To be sent again after parse(); orders are idempotent.
   std::vector<Order> outstanding() const;
 
--- a/src/supervise/supervisor.cpp
+++ b/src/supervise/supervisor.cpp
@@ -170,6 +170,7 @@
 
   // Start -------------------------------------------------------------------------------------------------
 
+  // Locks the folder, restores the state and returns the socket at the control address.
   net::Socket open_folder() {
     for (const char* name : {"", "/tmp", "/versions"}) fs::create_directories(options_.folder + name);
     lock_ = park::Fd(::open(file("lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
@@ -326,6 +327,7 @@
     }
   }
 
+  // Handles children that have ended, probes the others, and advances the state machine.
   void poll_children() {
     for (int status = 0; const pid_t pid = ::waitpid(-1, &status, WNOHANG);) {
       if (pid < 0) break;
@@ -395,6 +397,7 @@
       core_.set_evacuated(evacuated);  // set by an operator directly at the child
     }
   }
+  // Sends the evacuation and the excluded workers to the child in `slot`.
   void send_operator_state(int slot) {
     const std::string& address = options_.management_addresses.at(static_cast<std::size_t>(slot));
     bool all_confirmed = true;
@@ -406,6 +409,7 @@
     child_process(slot).operator_state_sent = all_confirmed;
   }
 
+  // Deletes the copies of versions that can no longer be started.
   void remove_unused_versions() {
     std::vector<std::string> ids{core_.desired().id, core_.last_good().id};
     for (const auto& version : {core_.candidate(), core_.previous()})
@@ -525,6 +529,7 @@
     return "error unknown command";
   }
 
+  // Stores and executes an order of a controller.
   std::string accept_order(const json& request) {
     Order order;
     const auto kind = order_kind_from(request.at("kind"));
--- a/src/verdict/verdict.hpp
+++ b/src/verdict/verdict.hpp
@@ -59,6 +59,7 @@
   int consecutive_slices = 5;
 };
 
+// not_worse: not worse by more than the margin.
 enum class Outcome { cannot_tell, worse, not_worse };
 
 class Verdict {
