--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -12,11 +12,11 @@
   options.add_options()("help,h", "print this page");
   options::options_description all_options(options);
   all_options.add_options()("word", options::value(&words));
-  options::positional_options_description positional;
-  positional.add("word", -1);
+  options::positional_options_description positional_options;
+  positional_options.add("word", -1);
   options::variables_map values;
-  options::store(options::command_line_parser(given).options(all_options).positional(positional).run(),
-                 values);
+  options::store(
+      options::command_line_parser(given).options(all_options).positional(positional_options).run(), values);
   options::notify(values);
   if (values.count("help")) {
     std::cout << "Usage: woadtide " << usage << "\n\n" << description << "\n\n" << options;
--- a/src/cli/command_line.hpp
+++ b/src/cli/command_line.hpp
@@ -7,7 +7,7 @@
 
 namespace woadtide::cli {
 
-// The options and positional arguments of a sub-command. Add the options, then call read().
+// The options and positional arguments of a sub-command. Add the options, then call parse().
 struct Arguments {
   boost::program_options::options_description options{"Options"};
   std::vector<std::string> words;  // positional arguments
--- a/src/rollout/rollout.hpp
+++ b/src/rollout/rollout.hpp
@@ -57,13 +57,13 @@
  public:
   // Throws std::invalid_argument with the text of plan_error() if the plan is invalid.
   explicit Rollout(Plan plan);
-  // Restores the state from text(). Throws std::invalid_argument if the text is malformed or of another
+  // Restores the state from serialize(). Throws std::invalid_argument if the text is malformed or of another
   // version.
   static Rollout parse(const std::string& text);
   // Returns the complete state as JSON.
   std::string text() const;
 
-  // Events. Each returns the new orders; the caller must store text() before it sends them.
+  // Events. Each returns the new orders; the caller must store serialize() before it sends them.
 
   // Time has passed: repeats unanswered orders and takes the next steps.
   std::vector<Order> tick(double now);
--- a/src/supervise/supervise.hpp
+++ b/src/supervise/supervise.hpp
@@ -71,7 +71,7 @@
   static constexpr int kSlots = 2;  // at most an old and a new child
   // Starts with `first` as the desired and the last good version.
   Core(Version first, Limits limits);
-  // Restores the state from text(). Throws std::invalid_argument if the text is malformed or of another
+  // Restores the state from serialize(). Throws std::invalid_argument if the text is malformed or of another
   // format.
   static Core from(const std::string& text, Limits limits);
   // Returns the stored part of the state as JSON; children are not included, see adopt().
--- a/src/supervise/supervisor.hpp
+++ b/src/supervise/supervisor.hpp
@@ -1,5 +1,5 @@
-// The supervisor process around supervise::Core: it holds the socket where clients connect, starts and stops
-// the children, answers controllers and operators at its control address, and stores its state.
+// The supervisor process around supervise::SupervisorCore: it holds the socket where clients connect, starts
+// and stops the children, answers controllers and operators at its control address, and stores its state.
 #pragma once
 
 #include <string>
--- a/src/verdict/verdict.hpp
+++ b/src/verdict/verdict.hpp
@@ -40,7 +40,7 @@
 // What both cohorts did in the same interval in one zone. Zones are compared separately because the loss of a
 // zone affects only the dispatchers in it.
 struct Pair {
-  // fresh: dispatchers on the new version; old: those they are compared with.
+  // The dispatchers on the new version, and those that they are compared with.
   CohortStats fresh, old;
 };
 using Slice = std::map<std::string, Pair>;  // by zone
