--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -216,8 +216,8 @@
       progress.ordered_at = -1e18;  // issued by the next tick
       return;
     case Order::Kind::keep_out:
-      progress.state =
-          MemberState::kept_out;  // reported as not rolled back; nothing more can be done from here
+      // Reported as not rolled back; nothing more can be done from here.
+      progress.state = MemberState::kept_out;
       return;
   }
 }
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -96,7 +96,7 @@
   std::map<std::string, std::uint64_t> highest_received;  // highest order number that a member received
   std::set<std::string> kept_out;
   std::deque<Order> pending_orders;
-  std::deque<std::pair<Order, bool>> delayed_results;  // delayed results
+  std::deque<std::pair<Order, bool>> delayed_results;  // with whether the order was executed
   double now = 0;
   int max_allowed_on_new = 0;
   std::string violation;
--- a/tests/verdict_world.hpp
+++ b/tests/verdict_world.hpp
@@ -28,8 +28,8 @@
     const auto uniform = [&] { return boost::random::uniform_real_distribution<double>(0, 1)(random); };
     // A lost zone or a release: for one eighth of the time both cohorts have a fault.
     const bool fault = shared_faults && at / 10 % 8 == 3;
-    const double changed_share =
-        fresh / 12.0 * (0.5 + uniform());  // the changed cohort's share varies from second to second
+    // The changed cohort's share of the traffic varies from second to second.
+    const double changed_share = fresh / 12.0 * (0.5 + uniform());
     const auto side = [&](bool is_changed) {
       CohortStats stats;
       stats.dispatchers = is_changed ? fresh : 12 - fresh;
