--- a/src/lab/scale/allocation_hook.cpp
+++ b/src/lab/scale/allocation_hook.cpp
@@ -1,5 +1,6 @@
-// Replaces the global operator new and delete by ones that count. Linked into measuring programs and tests
-// only, never into the dispatcher. The array and sized forms of the standard library call these.
+// Replaces the global operators new and delete with counting ones. Linked only into measuring programs and
+// tests, never into the dispatcher. The standard library's array and
+// sized forms call these operators.
 #include <malloc.h>
 
 #include <cstdlib>
@@ -11,13 +12,13 @@
 
 using woadtide::lab::scale::allocation_counters;
 
-void note_allocated(void* memory) {
+void record_allocation(void* memory) {
   allocation_counters.count.fetch_add(1, std::memory_order_relaxed);
   allocation_counters.live_bytes.fetch_add(static_cast<std::int64_t>(::malloc_usable_size(memory)),
                                            std::memory_order_relaxed);
 }
 
-void note_freed(void* memory) {
+void record_free(void* memory) {
   allocation_counters.live_bytes.fetch_sub(static_cast<std::int64_t>(::malloc_usable_size(memory)),
                                            std::memory_order_relaxed);
 }
@@ -27,13 +28,13 @@
 void* operator new(std::size_t size) {
   void* const memory = std::malloc(size == 0 ? 1 : size);
   if (!memory) throw std::bad_alloc();
-  note_allocated(memory);
+  record_allocation(memory);
   return memory;
 }
 
 void operator delete(void* memory) noexcept {
   if (!memory) return;
-  note_freed(memory);
+  record_free(memory);
   std::free(memory);
 }
 
--- a/src/lab/scale/change_harness.cpp
+++ b/src/lab/scale/change_harness.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr int kZones = 21, kRequestsASecond = 4;
-constexpr double kTurnMs = 1'000, kMemoryMb = 9, kCpuMsASecond = 2;
-constexpr double kLeastMs = 5, kMostMs = 400;
+constexpr int kZoneCount = 21, kRequestsPerSecond = 4;
+constexpr double kTurnIntervalMs = 1'000, kMemoryMb = 9, kCpuMsPerSecond = 2;
+constexpr double kMinLatencyMs = 5, kMaxLatencyMs = 400;
 
-std::string padded(const char* format, int value) {
+std::string format_number(const char* format, int value) {
   char text[32];
   std::snprintf(text, sizeof text, format, value);
   return text;
@@ -24,22 +24,23 @@
 
 }  // namespace
 
-config::RolloutPart rollout_part(int members) {
-  config::RolloutPart part;
+config::RolloutPart rollout_settings(int members) {
+  config::RolloutPart settings;
   for (int i = 0; i < members; ++i)
-    part.members.push_back({padded("dispatcher-%04d", i), padded("zone-%02d", i % kZones), "127.0.0.1:8400"});
-  part.look_ms = 0;
-  part.bake_ms = 0;
-  part.patience_ms = 86'400'000;
-  return part;
+    settings.members.push_back(
+        {format_number("dispatcher-%04d", i), format_number("zone-%02d", i % kZoneCount), "127.0.0.1:8400"});
+  settings.look_ms = 0;
+  settings.bake_ms = 0;
+  settings.patience_ms = 86'400'000;
+  return settings;
 }
 
 ChangeHarness::ChangeHarness(int members, std::uint64_t seed)
-    : part_(rollout_part(members)),
-      rollout_(control::plan_of(part_, "change-1")),
-      assessor_(part_),
+    : settings_(rollout_settings(members)),
+      rollout_(control::plan_of(settings_, "change-1")),
+      assessor_(settings_),
       random_(seed) {
-  for (const auto& member : part_.members) {
+  for (const auto& member : settings_.members) {
     control::Sample& sample = samples_[member.name];
     sample.pid = 1;
     sample.memory_mb = kMemoryMb;
@@ -48,49 +49,49 @@
   }
 }
 
-void ChangeHarness::answer_all() {
+void ChangeHarness::acknowledge_orders() {
   for (const Order& order : rollout_.outstanding()) {
-    if (order.kind == Order::Kind::move) on_new_.insert(order.member);
+    if (order.kind == Order::Kind::move) members_on_new_version_.insert(order.member);
     rollout_.answered(now_ms_, order, true, {});
   }
 }
 
-void ChangeHarness::finish_checks() {
+void ChangeHarness::complete_checks() {
   orders_at_first_tick_ = rollout_.tick(now_ms_).size();
-  answer_all();
+  acknowledge_orders();
 }
 
-void ChangeHarness::serve_second() {
-  now_ms_ += kTurnMs;
+void ChangeHarness::serve_one_second() {
+  now_ms_ += kTurnIntervalMs;
   for (auto& [name, sample] : samples_) {
     sample.at_ms = now_ms_;
-    sample.cpu_ms += kCpuMsASecond;
-    for (auto& [class_name, figures] : sample.classes)
-      for (int i = 0; i < kRequestsASecond; ++i) {
-        const double share = static_cast<double>(random_() >> 11) * 0x1p-53;
-        figures.asked += 1;
-        figures.add_served(kLeastMs + share * (kMostMs - kLeastMs), false);
+    sample.cpu_ms += kCpuMsPerSecond;
+    for (auto& [class_name, stats] : sample.classes)
+      for (int i = 0; i < kRequestsPerSecond; ++i) {
+        const double uniform = static_cast<double>(random_() >> 11) * 0x1p-53;
+        stats.asked += 1;
+        stats.add_served(kMinLatencyMs + uniform * (kMaxLatencyMs - kMinLatencyMs), false);
       }
   }
 }
 
-void ChangeHarness::turn() {
-  for (const auto& member : part_.members)
-    rollout_.found(now_ms_, member.name, true, on_new_.contains(member.name));
+void ChangeHarness::run_turn() {
+  for (const auto& member : settings_.members)
+    rollout_.found(now_ms_, member.name, true, members_on_new_version_.contains(member.name));
   assessor_.look(samples_, rollout_);
   assessor_.judge(now_ms_, rollout_);
   rollout_.tick(now_ms_);
 }
 
-std::size_t ChangeHarness::move_stage() {
-  const std::size_t before = on_new_.size();
+std::size_t ChangeHarness::move_allowed_members() {
+  const std::size_t before = members_on_new_version_.size();
   while (rollout_.phase() == rollout::Phase::moving) {
     rollout_.tick(now_ms_);
-    answer_all();
+    acknowledge_orders();
   }
-  return on_new_.size() - before;
+  return members_on_new_version_.size() - before;
 }
 
-void ChangeHarness::next_stage() { rollout_.judged(now_ms_, rollout::Word::not_worse, {}); }
+void ChangeHarness::approve_stage() { rollout_.judged(now_ms_, rollout::Word::not_worse, {}); }
 
 }  // namespace woadtide::lab::scale
--- a/src/lab/scale/change_harness.hpp
+++ b/src/lab/scale/change_harness.hpp
@@ -1,4 +1,5 @@
-// One change of the whole fleet, led by the real cores of rollout and assessor over members of this process.
+// A rollout to a whole fleet, driven by the real rollout and assessor state machines over members simulated
+// in this process.
 #pragma once
 
 #include <cstddef>
@@ -14,34 +15,40 @@
 
 namespace woadtide::lab::scale {
 
-config::RolloutPart rollout_part(int members);
+// Rollout settings with this many members, spread over zones, without observation or soak times.
+config::RolloutPart rollout_settings(int members);
 
+// Drives one rollout step by step on a simulated clock. Deterministic for a given seed.
 class ChangeHarness {
  public:
   ChangeHarness(int members, std::uint64_t seed);
 
-  // All members have taken the new version's files, and none runs it yet.
-  void finish_checks();
-  // One second of service at each member.
-  void serve_second();
-  // What the controller does with the answers of a turn: how each member was found, figures, verdict, tick.
-  void turn();
-  // Moves all that the stage allows, each answered at once. How many were moved.
-  std::size_t move_stage();
-  // The verdict has called the stage good.
-  void next_stage();
-
+  // Completes the checks: every member has the files of the new version, and none runs it yet.
+  void complete_checks();
+  // Simulates one second of traffic at each member.
+  void serve_one_second();
+  // What the controller does with the answers of one polling cycle: records each member's status and
+  // statistics, updates the verdict, and ticks the rollout.
+  void run_turn();
+  // Moves all members that the stage allows; each order is acknowledged at once. Returns how many were moved.
+  std::size_t move_allowed_members();
+  // Reports the verdict that the stage does not do worse, so that the next stage begins.
+  void approve_stage();
+
+  // The rollout under test.
   const rollout::Rollout& rollout() const { return rollout_; }
+  // How many orders the first tick issued.
   std::size_t orders_at_first_tick() const { return orders_at_first_tick_; }
 
  private:
-  void answer_all();
+  // Acknowledges every outstanding order as done.
+  void acknowledge_orders();
 
-  config::RolloutPart part_;
+  config::RolloutPart settings_;
   rollout::Rollout rollout_;
   control::Assessor assessor_;
   std::map<std::string, control::Sample> samples_;
-  std::set<std::string> on_new_;
+  std::set<std::string> members_on_new_version_;
   std::mt19937_64 random_;
   double now_ms_ = 1'000;
   std::size_t orders_at_first_tick_ = 0;
--- a/src/lab/scale/command.cpp
+++ b/src/lab/scale/command.cpp
@@ -12,11 +12,11 @@
 
 int run_command(const CommandOptions& options) {
   const Report report = run_part(options.part, options.settings);
-  std::cout << table_of(report) << std::flush;
+  std::cout << format_table(report) << std::flush;
   if (!options.json_file.empty()) {
     std::ofstream file(options.json_file);
-    file << json_of(report).dump(2) << '\n';
-    if (!file.flush()) throw std::runtime_error(options.json_file + " cannot be written");
+    file << as_json(report).dump(2) << '\n';
+    if (!file.flush()) throw std::runtime_error(options.json_file + ": cannot be written");
   }
   if (!options.svg_file.empty() && !write_svg(report, options.svg_file))
     std::cout << "no plot: gnuplot is not installed (package gnuplot-nox)\n";
--- a/src/lab/scale/controller_part.cpp
+++ b/src/lab/scale/controller_part.cpp
@@ -1,5 +1,5 @@
-// The rollout controller over dispatchers: its calls to all supervisors, a turn of its cores, and a whole
-// change.
+// Sweep of the rollout controller over the number of dispatchers: its calls to all supervisors, one polling
+// cycle of its state machines, and a whole rollout.
 #include <fstream>
 #include <stdexcept>
 #include <string>
@@ -18,106 +18,108 @@
 
 namespace {
 
-constexpr double kCallsWithinMs = 800;  // as the controller gives itself
-const std::vector<double> kTargets{kTargetDispatchers[0], kTargetDispatchers[1]};
-constexpr const char* kAgainst = "dispatchers";
+constexpr double kCallTimeoutMs = 800;  // the same as the controller's own timeout
+const std::vector<double> kTargetSizes{kTargetDispatchers[0], kTargetDispatchers[1]};
+constexpr const char* kSweptQuantity = "dispatchers";
 
-double live_kilobytes() { return static_cast<double>(allocations().live_bytes) / 1024; }
+double live_heap_kb() { return static_cast<double>(allocations().live_bytes) / 1024; }
 
-// A turn while a stage is looked at, a whole change, and the state that goes to the disk.
-void sweep_cores(Report& report, const Settings& settings) {
-  EventSeries turn("turn", kAgainst, kTargets), change("all moves of a change", kAgainst, kTargets);
-  EventSeries text("state's text", kAgainst, kTargets);
-  Series bytes{"state, bytes", kAgainst, "bytes", {}, kTargets};
-  Series orders{"orders in the first tick", kAgainst, "orders", {}, kTargets};
-  Series memory{"memory of one look at all", kAgainst, "KB", {}, kTargets};
+// A polling cycle while a stage is observed, a whole rollout, and the state that is written to disk.
+void sweep_turns_and_changes(Report& report, const Settings& settings) {
+  EventSeries turn("turn", kSweptQuantity, kTargetSizes),
+      change("all moves of a change", kSweptQuantity, kTargetSizes);
+  EventSeries text("state's text", kSweptQuantity, kTargetSizes);
+  Series bytes{"state, bytes", kSweptQuantity, "bytes", {}, kTargetSizes};
+  Series orders{"orders in the first tick", kSweptQuantity, "orders", {}, kTargetSizes};
+  Series memory{"memory of one look at all", kSweptQuantity, "KB", {}, kTargetSizes};
   std::vector<int> sizes{10, 30, 60, 100, 150, 200, 300, 450};
   if (settings.small) sizes = {10, 20, 40};
   const int turns = settings.small ? 4 : 12;
   for (const int members : sizes) {
     ChangeHarness fleet(members, settings.seed);
-    fleet.finish_checks();
-    fleet.serve_second();
-    fleet.turn();
-    EventSamples of_turn, of_change, of_text;
-    const double before = live_kilobytes();
+    fleet.complete_checks();
+    fleet.serve_one_second();
+    fleet.run_turn();
+    EventSamples turn_samples, change_samples, text_samples;
+    const double start_kb = live_heap_kb();
     for (int i = 0; i < turns; ++i) {
-      fleet.serve_second();
-      of_turn.measure([&] { fleet.turn(); });
+      fleet.serve_one_second();
+      turn_samples.measure([&] { fleet.run_turn(); });
     }
-    const double of_look = (live_kilobytes() - before) / turns;
+    const double kb_per_turn = (live_heap_kb() - start_kb) / turns;
     std::string state;
-    for (int i = 0; i < turns; ++i) of_text.measure([&] { state = fleet.rollout().text(); });
-    of_change.measure([&] {
+    for (int i = 0; i < turns; ++i) text_samples.measure([&] { state = fleet.rollout().text(); });
+    change_samples.measure([&] {
       while (!fleet.rollout().over()) {
-        fleet.move_stage();
-        fleet.next_stage();
+        fleet.move_allowed_members();
+        fleet.approve_stage();
       }
     });
-    turn.add(members, of_turn);
-    change.add(members, of_change);
-    text.add(members, of_text);
-    bytes.points.push_back(point_of(members, {static_cast<double>(state.size())}));
-    orders.points.push_back(point_of(members, {static_cast<double>(fleet.orders_at_first_tick())}));
-    memory.points.push_back(point_of(members, {of_look}));
+    turn.add(members, turn_samples);
+    change.add(members, change_samples);
+    text.add(members, text_samples);
+    bytes.points.push_back(summarize(members, {static_cast<double>(state.size())}));
+    orders.points.push_back(summarize(members, {static_cast<double>(fleet.orders_at_first_tick())}));
+    memory.points.push_back(summarize(members, {kb_per_turn}));
   }
-  for (const EventSeries* one : {&turn, &change, &text}) one->append_to(report);
-  for (Series* one : {&bytes, &orders, &memory}) report.series.push_back(std::move(*one));
+  for (const EventSeries* series : {&turn, &change, &text}) series->append_to(report);
+  for (Series* series : {&bytes, &orders, &memory}) report.series.push_back(std::move(*series));
 }
 
-// What the looks at 100 dispatchers before their change take: the past that a verdict is measured by.
-void sweep_looks(Report& report, const Settings& settings) {
+// Memory of the samples taken of 100 dispatchers before their change: the baseline of the verdict.
+void sweep_history_memory(Report& report, const Settings& settings) {
   Series memory{"memory of looks at 100 dispatchers", "looks", "KB", {}, {}};
   ChangeHarness fleet(settings.small ? 10 : 100, settings.seed);
-  fleet.finish_checks();
-  const double before = live_kilobytes();
-  const int most = settings.small ? 32 : 1'000;
-  int next_point = most / 8;
-  for (int looks = 1; looks <= most; ++looks) {
-    fleet.serve_second();
-    fleet.turn();
-    if (looks != next_point) continue;
-    memory.points.push_back(point_of(looks, {live_kilobytes() - before}));
-    next_point += most / 8;
+  fleet.complete_checks();
+  const double start_kb = live_heap_kb();
+  const int max_turns = settings.small ? 32 : 1'000;
+  int next_point = max_turns / 8;
+  for (int turns = 1; turns <= max_turns; ++turns) {
+    fleet.serve_one_second();
+    fleet.run_turn();
+    if (turns != next_point) continue;
+    memory.points.push_back(summarize(turns, {live_heap_kb() - start_kb}));
+    next_point += max_turns / 8;
   }
   report.series.push_back(std::move(memory));
 }
 
-// All supervisors are asked how they stand, over loopback; they answer at once.
+// Status calls to all supervisors, over loopback; the supervisors answer at once.
 void sweep_calls(Report& report, const Settings& settings) {
-  const StandInSupervisors supervisors;
-  EventSeries asking("status of all", kAgainst, kTargets);
-  Series reached{"supervisors that answered in time", kAgainst, "supervisors", {}, kTargets};
-  Series received{"bytes received for the status of all", kAgainst, "bytes", {}, kTargets};
+  const FakeSupervisors supervisors;
+  EventSeries status_calls("status of all", kSweptQuantity, kTargetSizes);
+  Series reached{"supervisors that answered in time", kSweptQuantity, "supervisors", {}, kTargetSizes};
+  Series received{"bytes received for the status of all", kSweptQuantity, "bytes", {}, kTargetSizes};
   std::vector<int> sizes{10, 30, 100, 300, 1'000, 3'000};
   if (settings.small) sizes = {10, 20, 40};
   for (const int members : sizes) {
-    config::RolloutPart part = rollout_part(members);
+    config::RolloutPart part = rollout_settings(members);
     for (auto& member : part.members) member.control = supervisors.address();
-    EventSamples of_asking;
-    std::vector<double> answered;
+    EventSamples call_samples;
+    std::vector<double> reached_counts;
     for (int i = 0; i < (settings.small ? 2 : 8); ++i) {
       std::vector<control::Standing> standings;
-      of_asking.measure([&] { standings = control::ask_all(part, kCallsWithinMs); });
+      call_samples.measure([&] { standings = control::ask_all(part, kCallTimeoutMs); });
       double count = 0;
-      for (const control::Standing& one : standings) count += one.reached;
-      answered.push_back(count);
+      for (const control::Standing& standing : standings) count += standing.reached;
+      reached_counts.push_back(count);
     }
-    asking.add(members, of_asking);
-    const Point point = point_of(members, answered);
+    status_calls.add(members, call_samples);
+    const Point point = summarize(members, reached_counts);
     reached.points.push_back(point);
     received.points.push_back(
-        point_of(members, {point.median * static_cast<double>(supervisors.status_bytes())}));
+        summarize(members, {point.median * static_cast<double>(supervisors.status_bytes())}));
   }
-  asking.append_to(report);
+  status_calls.append_to(report);
   report.series.push_back(std::move(reached));
   report.series.push_back(std::move(received));
 }
 
-bool file_takes(const std::string& path, int members) {
+// Whether the operator file is accepted with this many members.
+bool is_file_accepted(const std::string& path, int members) {
   std::ofstream file(path, std::ios::trunc);
   file << "[rollout]\nfolder = \"/tmp\"\nmembers = [\n";
-  for (const auto& member : rollout_part(members).members)
+  for (const auto& member : rollout_settings(members).members)
     file << "  {name = \"" << member.name << "\", zone = \"" << member.zone << "\", control = \""
          << member.control << "\"},\n";
   file << "]\n";
@@ -130,37 +132,38 @@
   }
 }
 
-void find_most_members(Report& report, const Settings& settings) {
+// Finds the largest accepted number of members by bisection.
+void find_max_members(Report& report, const Settings& settings) {
   const ScratchFolder folder(settings.folder);
   const std::string path = folder.path() + "/operator.toml";
-  constexpr int kMost = 4'096;
-  int takes = 1, refuses = kMost;
-  while (refuses - takes > 1) {
-    const int middle = (takes + refuses) / 2;
-    (file_takes(path, middle) ? takes : refuses) = middle;
+  constexpr int kMaxMembers = 4'096;
+  int accepted = 1, rejected = kMaxMembers;
+  while (rejected - accepted > 1) {
+    const int middle = (accepted + rejected) / 2;
+    (is_file_accepted(path, middle) ? accepted : rejected) = middle;
   }
   report.facts.push_back(
-      {"most members that the operator's file may name", static_cast<double>(takes), "dispatchers"});
+      {"most members that the operator's file may name", static_cast<double>(accepted), "dispatchers"});
 }
 
-// A dispatcher's figures at their largest: two classes, with answers in each bin.
-void tell_figures_bytes(Report& report) {
-  core::Figures figures;
+// The largest statistics of one dispatcher: two classes, with responses in each latency bin.
+void add_stats_size(Report& report) {
+  core::Figures stats;
   for (const char* name : {"receipt-check", "refund-payout"})
-    for (std::size_t bin = 0; bin < core::kBins; ++bin) figures[name].add_served(core::top_of(bin), false);
+    for (std::size_t bin = 0; bin < core::kBins; ++bin) stats[name].add_served(core::top_of(bin), false);
   report.facts.push_back({"one dispatcher's figures, two classes, all bins in use",
-                          static_cast<double>(core::text_of(figures).size()), "bytes"});
+                          static_cast<double>(core::text_of(stats).size()), "bytes"});
 }
 
 }  // namespace
 
 Report run_controller_part(const Settings& settings) {
   Report report{"controller", settings.seed, {}, {}};
-  sweep_cores(report, settings);
-  sweep_looks(report, settings);
+  sweep_turns_and_changes(report, settings);
+  sweep_history_memory(report, settings);
   sweep_calls(report, settings);
-  find_most_members(report, settings);
-  tell_figures_bytes(report);
+  find_max_members(report, settings);
+  add_stats_size(report);
   return report;
 }
 
--- a/src/lab/scale/fit.cpp
+++ b/src/lab/scale/fit.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr std::size_t kFewestObservations = 3;
-constexpr double kTinyPivot = 1e-300;
+constexpr std::size_t kMinObservations = 3;
+constexpr double kMinPivot = 1e-300;
 
-// A weighted least-squares problem of K columns.
+// A weighted linear least-squares problem with K parameters.
 template <std::size_t K>
 struct Problem {
   struct Row {
@@ -27,6 +27,7 @@
   std::vector<Row> rows;
 };
 
+// The parameters that minimize the weighted sum of squares, and their covariance.
 template <std::size_t K>
 struct Solution {
   std::array<double, K> parameters{};
@@ -34,7 +35,7 @@
   double residual = 0;  // weighted sum of squares
 };
 
-// Gauss-Jordan with pivoting.
+// Gauss-Jordan elimination with partial pivoting.
 template <std::size_t K>
 std::array<std::array<double, K>, K> inverse_of(std::array<std::array<double, K>, K> matrix) {
   std::array<std::array<double, K>, K> inverse{};
@@ -43,7 +44,8 @@
     std::size_t pivot = column;
     for (std::size_t row = column + 1; row < K; ++row)
       if (std::abs(matrix[row][column]) > std::abs(matrix[pivot][column])) pivot = row;
-    if (std::abs(matrix[pivot][column]) < kTinyPivot) throw std::invalid_argument("fit: sizes are all alike");
+    if (std::abs(matrix[pivot][column]) < kMinPivot)
+      throw std::invalid_argument("fit: the sizes do not determine the parameters");
     std::swap(matrix[column], matrix[pivot]);
     std::swap(inverse[column], inverse[pivot]);
     const double scale = matrix[column][column];
@@ -60,26 +62,28 @@
   return inverse;
 }
 
+// Solves the normal equations.
 template <std::size_t K>
 Solution<K> solve(const Problem<K>& problem) {
   std::array<std::array<double, K>, K> normal{};
-  std::array<double, K> right{};
+  std::array<double, K> right_hand_side{};
   for (const auto& row : problem.rows)
     for (std::size_t i = 0; i < K; ++i) {
-      right[i] += row.weight * row.columns[i] * row.value;
+      right_hand_side[i] += row.weight * row.columns[i] * row.value;
       for (std::size_t j = 0; j < K; ++j) normal[i][j] += row.weight * row.columns[i] * row.columns[j];
     }
   const auto inverse = inverse_of(normal);
   Solution<K> solution;
   for (std::size_t i = 0; i < K; ++i)
-    for (std::size_t j = 0; j < K; ++j) solution.parameters[i] += inverse[i][j] * right[j];
+    for (std::size_t j = 0; j < K; ++j) solution.parameters[i] += inverse[i][j] * right_hand_side[j];
   for (const auto& row : problem.rows) {
     double fitted = 0;
     for (std::size_t i = 0; i < K; ++i) fitted += solution.parameters[i] * row.columns[i];
     solution.residual += row.weight * (fitted - row.value) * (fitted - row.value);
   }
-  const std::size_t freedom = problem.rows.size() > K ? problem.rows.size() - K : 0;
-  const double variance = freedom > 0 ? solution.residual / static_cast<double>(freedom) : 0;
+  const std::size_t degrees_of_freedom = problem.rows.size() > K ? problem.rows.size() - K : 0;
+  const double variance =
+      degrees_of_freedom > 0 ? solution.residual / static_cast<double>(degrees_of_freedom) : 0;
   for (std::size_t i = 0; i < K; ++i)
     for (std::size_t j = 0; j < K; ++j) solution.covariance[i][j] = variance * inverse[i][j];
   return solution;
@@ -87,45 +91,47 @@
 
 double largest_size(const std::vector<Observation>& observations) {
   double largest = 0;
-  for (const Observation& one : observations) largest = std::max(largest, std::abs(one.size));
+  for (const Observation& observation : observations) largest = std::max(largest, std::abs(observation.size));
   return largest > 0 ? largest : 1;
 }
 
-// 1 / y^2; where all values may be 0, those count as 1.
-double weight_of(const Observation& one) {
-  const double value = one.value != 0 ? std::abs(one.value) : 1;
+// 1 / y^2; a value of 0 counts as 1.
+double weight_of(const Observation& observation) {
+  const double value = observation.value != 0 ? std::abs(observation.value) : 1;
   return 1 / (value * value);
 }
 
-// Sizes are divided by `scale`, which keeps the normal equations well conditioned.
+// Sizes are divided by `scale` to keep the normal equations well conditioned.
 Solution<2> solve_line(const std::vector<Observation>& observations, double scale) {
   Problem<2> problem;
-  for (const Observation& one : observations)
-    problem.rows.push_back({{1, one.size / scale}, one.value, weight_of(one)});
+  for (const Observation& observation : observations)
+    problem.rows.push_back({{1, observation.size / scale}, observation.value, weight_of(observation)});
   return solve(problem);
 }
 
-Solution<3> solve_bent(const std::vector<Observation>& observations, double scale, double bend) {
+// A line whose slope changes at `bend`.
+Solution<3> solve_segmented(const std::vector<Observation>& observations, double scale, double bend) {
   Problem<3> problem;
-  for (const Observation& one : observations) {
-    const double beyond = std::max(0.0, one.size - bend);
-    problem.rows.push_back({{1, one.size / scale, beyond / scale}, one.value, weight_of(one)});
+  for (const Observation& observation : observations) {
+    const double excess = std::max(0.0, observation.size - bend);
+    problem.rows.push_back(
+        {{1, observation.size / scale, excess / scale}, observation.value, weight_of(observation)});
   }
   return solve(problem);
 }
 
-// The Bayesian information criterion, with residuals no smaller than the floor.
-double criterion(double residual, std::size_t observations, int parameters) {
+// The Bayesian information criterion, with the residual per point limited below by kMinResidual.
+double information_criterion(double residual, std::size_t observations, int parameters) {
   const auto n = static_cast<double>(observations);
-  const double mean_square = std::max(residual / n, kResidualFloor * kResidualFloor);
+  const double mean_square = std::max(residual / n, kMinResidual * kMinResidual);
   return n * std::log(mean_square) + parameters * std::log(n);
 }
 
-void check(const std::vector<Observation>& observations) {
+void check_observations(const std::vector<Observation>& observations) {
   std::set<double> sizes;
-  for (const Observation& one : observations) sizes.insert(one.size);
-  if (observations.size() < kFewestObservations || sizes.size() < 2)
-    throw std::invalid_argument("fit: needs three observations at two sizes");
+  for (const Observation& observation : observations) sizes.insert(observation.size);
+  if (observations.size() < kMinObservations || sizes.size() < 2)
+    throw std::invalid_argument("fit: at least three observations at two different sizes are needed");
 }
 
 }  // namespace
@@ -139,7 +145,7 @@
 double PowerFit::at(double size) const { return factor * std::pow(size, exponent.value); }
 
 LineFit fit_line(const std::vector<Observation>& observations) {
-  check(observations);
+  check_observations(observations);
   const double scale = largest_size(observations);
   const Solution<2> solved = solve_line(observations, scale);
   LineFit fit;
@@ -151,38 +157,39 @@
 }
 
 std::optional<PowerFit> fit_power(const std::vector<Observation>& observations) {
-  check(observations);
+  check_observations(observations);
   Problem<2> problem;
-  for (const Observation& one : observations) {
-    if (one.size <= 0 || one.value <= 0) return std::nullopt;
-    problem.rows.push_back({{1, std::log(one.size)}, std::log(one.value), 1});
+  for (const Observation& observation : observations) {
+    if (observation.size <= 0 || observation.value <= 0) return std::nullopt;
+    problem.rows.push_back({{1, std::log(observation.size)}, std::log(observation.value), 1});
   }
   const Solution<2> solved = solve(problem);
   return PowerFit{std::exp(solved.parameters[0]), {solved.parameters[1], std::sqrt(solved.covariance[1][1])}};
 }
 
 std::optional<Bend> find_bend(const std::vector<Observation>& observations) {
-  check(observations);
+  check_observations(observations);
   const double scale = largest_size(observations);
   const std::size_t count = observations.size();
-  const double straight = criterion(solve_line(observations, scale).residual, count, 2);
+  const double line_criterion = information_criterion(solve_line(observations, scale).residual, count, 2);
   std::set<double> sizes;
-  for (const Observation& one : observations) sizes.insert(one.size);
-  double best = std::numeric_limits<double>::infinity();
+  for (const Observation& observation : observations) sizes.insert(observation.size);
+  double best_criterion = std::numeric_limits<double>::infinity();
   Bend bend;
-  std::size_t place = 0;
+  std::size_t position = 0;
   for (const double size : sizes) {
-    place += 1;
-    if (place < kFewestPerSide || place + kFewestPerSide > sizes.size() + 1) continue;
-    const Solution<3> solved = solve_bent(observations, scale, size);
-    const double bent = criterion(solved.residual, count, 4);  // the place of the bend is a parameter too
-    if (bent >= best) continue;
-    best = bent;
+    position += 1;
+    if (position < kMinPointsPerSide || position + kMinPointsPerSide > sizes.size() + 1) continue;
+    const Solution<3> solved = solve_segmented(observations, scale, size);
+    const double bend_criterion =
+        information_criterion(solved.residual, count, 4);  // the position of the bend is a parameter too
+    if (bend_criterion >= best_criterion) continue;
+    best_criterion = bend_criterion;
     bend = {size, solved.parameters[1] / scale, (solved.parameters[1] + solved.parameters[2]) / scale};
   }
-  const double change = std::abs(bend.slope_after - bend.slope_before);
-  const bool changes = change > kLeastSlopeChange * std::abs(bend.slope_before);
-  if (best + kCriterionMargin >= straight || !changes) return std::nullopt;
+  const double slope_change = std::abs(bend.slope_after - bend.slope_before);
+  const bool slope_changes = slope_change > kMinRelativeSlopeChange * std::abs(bend.slope_before);
+  if (best_criterion + kMinCriterionGain >= line_criterion || !slope_changes) return std::nullopt;
   return bend;
 }
 
--- a/src/lab/scale/list_client_harness.cpp
+++ b/src/lab/scale/list_client_harness.cpp
@@ -13,20 +13,22 @@
 
 namespace {
 
-constexpr double kPatienceMs = 5'000;
-constexpr std::size_t kBuffers = 4;
-constexpr int kFirstPort = 1'024, kPorts = 60'000;
+constexpr double kTimeoutMs = 5'000;
+constexpr std::size_t kBufferCount = 4;
+constexpr int kFirstPort = 1'024, kPortCount = 60'000;
 
-core::Host endpoint(int number) {
+// Endpoint `number`, with an address and start time of its own.
+core::Host make_endpoint(int number) {
   const std::string address = "10." + std::to_string(number / 256 % 256) + '.' +
                               std::to_string(number % 256) +
-                              ".7:" + std::to_string(kFirstPort + number % kPorts);
+                              ".7:" + std::to_string(kFirstPort + number % kPortCount);
   core::Host host{worker_entry(number), address};
   host.entry.started = std::chrono::milliseconds(1'700'000'000'000 + number);
   return host;
 }
 
-std::string chunk_of(const std::string& text) {
+// One chunk of a chunked HTTP body.
+std::string http_chunk(const std::string& text) {
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", text.size());
   return size + text + "\r\n";
@@ -36,56 +38,57 @@
 
 core::HostList endpoint_list(int workers) {
   core::HostList list{1, true, {}};
-  for (int i = 0; i < workers; ++i) list.hosts.push_back(endpoint(i));
+  for (int i = 0; i < workers; ++i) list.hosts.push_back(make_endpoint(i));
   return list;
 }
 
 core::HostList endpoint_change(int number, std::int64_t sequence, woadtide::WorkerState state) {
-  core::HostList list{sequence, false, {endpoint(number)}};
+  core::HostList list{sequence, false, {make_endpoint(number)}};
   list.hosts.front().entry.state = state;
   return list;
 }
 
 ListClientHarness::ListClientHarness()
-    : pool_(kBuffers),
+    : pool_(kBufferCount),
       listener_(net::Socket::listen_at(net::Address("127.0.0.1:0"))),
-      park_(clock_),
-      crew_({}),
-      client_("127.0.0.1:" + std::to_string(listener_.port()), core::HostList{}, clock_, inbox_, pool_, park_,
-              crew_) {
+      event_loop_(clock_),
+      thread_pool_({}),
+      client_("127.0.0.1:" + std::to_string(listener_.port()), core::HostList{}, clock_, inbox_, pool_,
+              event_loop_, thread_pool_) {
   client_.watch();
-  accept_watch();
-  inbox_.take();  // the empty list that it remembers
+  accept_watch_connection();
+  inbox_.take();  // discards the report of the empty remembered list
 }
 
-void ListClientHarness::accept_watch() {
-  const double deadline = clock_.now() + kPatienceMs;
+void ListClientHarness::accept_watch_connection() {
+  const double deadline = clock_.now() + kTimeoutMs;
   net::wait_for(listener_.fd(), POLLIN, -1, deadline, clock_);
-  watch_ = net::Socket(net::Fd(::accept(listener_.fd(), nullptr, nullptr)));
-  std::string head;
+  watch_connection_ = net::Socket(net::Fd(::accept(listener_.fd(), nullptr, nullptr)));
+  std::string request_head;
   char bytes[1024];
-  std::size_t got = 0;
-  while (head.find("\r\n\r\n") == std::string::npos) {
-    if (watch_.receive(bytes, sizeof bytes, got, deadline, clock_) != net::Io::done)
-      throw std::runtime_error("scale: the list client opened no watch");
-    head.append(bytes, got);
+  std::size_t received_bytes = 0;
+  while (request_head.find("\r\n\r\n") == std::string::npos) {
+    if (watch_connection_.receive(bytes, sizeof bytes, received_bytes, deadline, clock_) != net::Io::done)
+      throw std::runtime_error("scale: the endpoint list client did not open its watch");
+    request_head.append(bytes, received_bytes);
   }
-  watch_.send({"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"}, deadline, clock_);
+  watch_connection_.send({"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"}, deadline, clock_);
 }
 
 bool ListClientHarness::deliver(const core::HostList& list) {
-  const std::string line = chunk_of(core::text_of(list) + '\n');
-  watch_.send({line}, clock_.now() + kPatienceMs, clock_);
-  return client_told(list.whole ? ListKind::full : ListKind::changes, list.hosts.size());
+  const std::string chunk = http_chunk(core::text_of(list) + '\n');
+  watch_connection_.send({chunk}, clock_.now() + kTimeoutMs, clock_);
+  return client_reported(list.whole ? ListKind::full : ListKind::changes, list.hosts.size());
 }
 
-bool ListClientHarness::client_told(woadtide::ListKind kind, std::size_t entries) {
-  const double deadline = clock_.now() + kPatienceMs;
+bool ListClientHarness::client_reported(woadtide::ListKind kind, std::size_t entries) {
+  const double deadline = clock_.now() + kTimeoutMs;
   while (clock_.now() < deadline) {
     inbox_.wait(deadline - clock_.now());
     for (const core::Message& message : inbox_.take()) {
-      const auto* told = std::get_if<core::ListTold>(&message);
-      if (told) return told->update.kind == kind && told->update.entries.size() == entries;
+      const auto* list_update = std::get_if<core::ListTold>(&message);
+      if (list_update)
+        return list_update->update.kind == kind && list_update->update.entries.size() == entries;
     }
   }
   return false;
--- a/src/lab/scale/list_client_harness.hpp
+++ b/src/lab/scale/list_client_harness.hpp
@@ -1,5 +1,5 @@
-// The dispatcher's client of the endpoint list, against a scripted source on a loopback socket of this
-// process.
+// The dispatcher's endpoint list client, connected to a scripted service discovery on a loopback socket of
+// this process.
 #pragma once
 
 #include <string>
@@ -14,29 +14,33 @@
 
 namespace woadtide::lab::scale {
 
+// A complete list of this many workers.
 core::HostList endpoint_list(int workers);
-// Worker `number`, draining or ready.
+// A change of one worker, `number`, to this state.
 core::HostList endpoint_change(int number, std::int64_t sequence, woadtide::WorkerState state);
 
+// Sends lists to the client and waits until the client has reported them.
 class ListClientHarness {
  public:
+  // Opens the client's watch. Throws std::runtime_error if the client does not connect.
   ListClientHarness();
 
-  // Sends one list as one line. Whether the client told it on, and did not fail over it.
+  // Sends one list as one line. Returns whether the client reported exactly this list; false if the client
+  // failed on it.
   bool deliver(const core::HostList& list);
 
  private:
-  void accept_watch();
-  bool client_told(woadtide::ListKind kind, std::size_t entries);
+  void accept_watch_connection();
+  bool client_reported(woadtide::ListKind kind, std::size_t entries);
 
   core::Clock clock_;
   core::Inbox inbox_;
   net::BufferPool pool_;
   net::Socket listener_;
-  park::Park park_;
-  park::Crew crew_;
+  park::Park event_loop_;
+  park::Crew thread_pool_;
   net::HostGroup client_;
-  net::Socket watch_;
+  net::Socket watch_connection_;
 };
 
 }  // namespace woadtide::lab::scale
--- a/src/lab/scale/list_crowd.cpp
+++ b/src/lab/scale/list_crowd.cpp
@@ -15,24 +15,25 @@
 
 namespace {
 
-constexpr Micros kStart = std::chrono::seconds(1);
+constexpr Micros kStartTime = std::chrono::seconds(1);
 
 class Simulation {
  public:
-  Simulation(const ListCrowd& crowd, std::uint64_t seed) : crowd_(crowd) {
-    for (int i = 0; i < crowd.dispatchers; ++i) {
-      woadtide::Settings settings = module_settings(crowd.dispatchers, i);
+  Simulation(const ListCrowdLoad& load, std::uint64_t seed) : load_(load) {
+    for (int i = 0; i < load.dispatchers; ++i) {
+      woadtide::Settings settings = module_settings(load.dispatchers, i);
       settings.list_on_request = true;
-      settings.must_ask_within = crowd.must_ask_within;
-      settings.list_binds_after = core::to_micros(core::kToldWithinMs);  // as core::read_config has it
+      settings.must_ask_within = load.must_ask_within;
+      settings.list_binds_after =
+          core::to_micros(core::kToldWithinMs);  // the same value as in core::read_config
       dispatchers_.emplace_back(settings, seed * 1'000'003 + static_cast<std::uint64_t>(i));
     }
     subscribed_.resize(dispatchers_.size());
   }
 
   ListCrowdResult run() {
-    for (std::size_t i = 0; i < dispatchers_.size(); ++i) tell(i, ListKind::remembered);
-    const Micros end = kStart + crowd_.run_time;
+    for (std::size_t i = 0; i < dispatchers_.size(); ++i) send_list_update(i, ListKind::remembered);
+    const Micros end = kStartTime + load_.run_time;
     while (!events_.empty() && events_.begin()->first <= end) {
       now_ = std::max(now_, events_.begin()->first);
       const auto event = std::move(events_.begin()->second);
@@ -40,15 +41,15 @@
       event();
     }
     for (const auto& [second, calls] : calls_by_second_)
-      result_.most_calls_in_a_second = std::max(result_.most_calls_in_a_second, calls);
-    if (result_.subscribed < crowd_.dispatchers) result_.all_subscribed_s = seconds(crowd_.run_time);
+      result_.max_calls_per_second = std::max(result_.max_calls_per_second, calls);
+    if (result_.subscribed < load_.dispatchers) result_.all_subscribed_s = seconds(load_.run_time);
     return result_;
   }
 
  private:
   static double seconds(Micros span) { return std::chrono::duration<double>(span).count(); }
 
-  void tell(std::size_t dispatcher, ListKind kind) {
+  void send_list_update(std::size_t dispatcher, ListKind kind) {
     woadtide::ListUpdate update{kind, {}};
     if (kind != ListKind::failed) update.entries.push_back(worker_entry(0));
     feed(dispatcher, update);
@@ -58,7 +59,7 @@
     std::vector<woadtide::Action> actions;
     dispatchers_[dispatcher].handle(now_, event, actions);
     for (const woadtide::Action& action : actions) {
-      if (std::holds_alternative<woadtide::Watch>(action)) call(dispatcher);
+      if (std::holds_alternative<woadtide::Watch>(action)) call_source(dispatcher);
       const auto* timer = std::get_if<woadtide::SetTimer>(&action);
       if (!timer) continue;
       events_.emplace(timer->at, [this, dispatcher, token = timer->token] {
@@ -67,30 +68,30 @@
     }
   }
 
-  void call(std::size_t dispatcher) {
+  void call_source(std::size_t dispatcher) {
     if (subscribed_[dispatcher]) return;
     result_.calls += 1;
     calls_by_second_[now_.count() / 1'000'000] += 1;
-    source_free_ = std::max(now_, source_free_) + crowd_.call_time;
-    const bool fails = source_free_ > now_ + crowd_.call_patience;
-    events_.emplace(fails ? now_ + crowd_.call_patience : source_free_,
-                    [this, dispatcher, fails] { fails ? fail(dispatcher) : subscribe(dispatcher); });
+    source_free_at_ = std::max(now_, source_free_at_) + load_.call_time;
+    const bool fails = source_free_at_ > now_ + load_.call_timeout;
+    events_.emplace(fails ? now_ + load_.call_timeout : source_free_at_,
+                    [this, dispatcher, fails] { fails ? fail_call(dispatcher) : subscribe(dispatcher); });
   }
 
-  void fail(std::size_t dispatcher) {
+  void fail_call(std::size_t dispatcher) {
     result_.failed_calls += 1;
-    tell(dispatcher, ListKind::failed);
+    send_list_update(dispatcher, ListKind::failed);
   }
 
   void subscribe(std::size_t dispatcher) {
     if (!subscribed_[dispatcher]) result_.subscribed += 1;
     subscribed_[dispatcher] = true;
-    result_.all_subscribed_s = seconds(now_ - kStart);
-    tell(dispatcher, ListKind::full);
+    result_.all_subscribed_s = seconds(now_ - kStartTime);
+    send_list_update(dispatcher, ListKind::full);
   }
 
-  const ListCrowd crowd_;
-  Micros now_ = kStart, source_free_ = kStart;
+  const ListCrowdLoad load_;
+  Micros now_ = kStartTime, source_free_at_ = kStartTime;
   std::vector<woadtide::Dispatcher> dispatchers_;
   std::vector<bool> subscribed_;
   std::multimap<Micros, std::function<void()>> events_;
@@ -100,6 +101,8 @@
 
 }  // namespace
 
-ListCrowdResult simulate(const ListCrowd& crowd, std::uint64_t seed) { return Simulation(crowd, seed).run(); }
+ListCrowdResult simulate(const ListCrowdLoad& load, std::uint64_t seed) {
+  return Simulation(load, seed).run();
+}
 
 }  // namespace woadtide::lab::scale
--- a/src/lab/scale/list_crowd.hpp
+++ b/src/lab/scale/list_crowd.hpp
@@ -1,7 +1,8 @@
-// Many decision modules that ask one source for the endpoint list, on a made-up clock: how many calls come
-// due in one second after all have started at once, and when all have the list.
+// Simulates many decision modules that request the endpoint list from one source (a thundering herd), on a
+// simulated clock: how many calls arrive within one second after all have started at once, and when all have
+// the list.
 //
-// The source answers one call at a time and works on those that gave up, too.
+// The source answers one call at a time and also works on calls whose caller has given up.
 #pragma once
 
 #include <cstdint>
@@ -10,20 +11,23 @@
 
 namespace woadtide::lab::scale {
 
-struct ListCrowd {
+// The simulated dispatchers and their source.
+struct ListCrowdLoad {
   int dispatchers = 0;
-  Micros call_time{0};                             // the source's work for one call
-  Micros call_patience = std::chrono::seconds(2);  // then the caller gives up
+  Micros call_time{0};                            // service time of one call at the source
+  Micros call_timeout = std::chrono::seconds(2);  // after it the caller gives up
   Micros must_ask_within = std::chrono::seconds(10);
   Micros run_time = std::chrono::seconds(120);
 };
 
+// What the calls came to.
 struct ListCrowdResult {
   int calls = 0, failed_calls = 0;
-  int most_calls_in_a_second = 0;
-  int subscribed = 0;           // at the end
-  double all_subscribed_s = 0;  // since the start; the whole run's time where some never were
+  int max_calls_per_second = 0;
+  int subscribed = 0;           // dispatchers that have the list at the end
+  double all_subscribed_s = 0;  // seconds from the start; the run time if some never subscribed
 };
-ListCrowdResult simulate(const ListCrowd& crowd, std::uint64_t seed);
+// Runs the simulation. The result depends on the arguments only.
+ListCrowdResult simulate(const ListCrowdLoad& load, std::uint64_t seed);
 
 }  // namespace woadtide::lab::scale
--- a/src/lab/scale/list_part.cpp
+++ b/src/lab/scale/list_part.cpp
@@ -1,4 +1,4 @@
-// The endpoint list: its size, what its decoding costs, and what its client reads.
+// Sweep of the endpoint list over the number of workers: its size, the cost of its codec, and of its client.
 #include <memory>
 #include <nlohmann/json.hpp>
 #include <string_view>
@@ -12,7 +12,8 @@
 
 namespace {
 
-// The client logs each worker: ten thousand lines a list would hide the report.
+// Discards the log: the client writes a line for each worker, and ten thousand lines per list would hide the
+// report.
 class LogSilencer {
  public:
   LogSilencer() {
@@ -23,7 +24,7 @@
   LogSilencer& operator=(const LogSilencer&) = delete;
 };
 
-std::vector<int> sizes_of(const Settings& settings) {
+std::vector<int> worker_counts(const Settings& settings) {
   if (settings.small) return {50, 100, 200, 400};
   return {50, 100, 200, 400, 800, 1'600, 3'200, 6'400, 10'000};
 }
@@ -32,13 +33,13 @@
   Series bytes{"whole list, bytes", "workers", "bytes", {}, {kTargetWorkers}};
   EventSeries decoding("decode of a whole list", "workers", {kTargetWorkers});
   EventSeries encoding("encode of a whole list", "workers", {kTargetWorkers});
-  const int rounds = settings.small ? 4 : 12;
-  for (const int workers : sizes_of(settings)) {
+  const int repetitions = settings.small ? 4 : 12;
+  for (const int workers : worker_counts(settings)) {
     const core::HostList list = endpoint_list(workers);
     const std::string text = core::text_of(list);
-    bytes.points.push_back(point_of(workers, {static_cast<double>(text.size())}));
+    bytes.points.push_back(summarize(workers, {static_cast<double>(text.size())}));
     EventSamples decode, encode;
-    for (int i = 0; i < rounds; ++i) {
+    for (int i = 0; i < repetitions; ++i) {
       encode.measure([&] { core::text_of(list); });
       decode.measure([&] { core::read_host_list(nlohmann::json::parse(text)); });
     }
@@ -52,40 +53,41 @@
   report.facts.push_back({"one change, bytes", static_cast<double>(core::text_of(change).size()), "bytes"});
 }
 
-bool client_reads(int workers) {
+bool client_accepts_list(int workers) {
   ListClientHarness client;
   return client.deliver(endpoint_list(workers));
 }
 
-// By bisection; `most` where even that is read.
-int find_most_workers(int most) {
-  if (client_reads(most)) return most;
-  int reads = 1, fails = most;
-  while (fails - reads > 1) {
-    const int middle = (reads + fails) / 2;
-    (client_reads(middle) ? reads : fails) = middle;
+// Finds by bisection how many workers the client accepts in a complete list, up to `max_workers`.
+int find_max_workers(int max_workers) {
+  if (client_accepts_list(max_workers)) return max_workers;
+  int accepted = 1, rejected = max_workers;
+  while (rejected - accepted > 1) {
+    const int middle = (accepted + rejected) / 2;
+    (client_accepts_list(middle) ? accepted : rejected) = middle;
   }
-  return reads;
+  return accepted;
 }
 
-// A change, heard by a client that has the list already. Ends where the client reads no whole list any more.
-void sweep_client(Report& report, const Settings& settings, int most) {
+// Complete lists, and then changes for a client that has the list already. Stops at the largest list that the
+// client accepts, of `max_workers` workers.
+void sweep_client(Report& report, const Settings& settings, int max_workers) {
   EventSeries whole("client: a whole list", "workers", {kTargetWorkers});
   EventSeries change("client: one change", "workers", {kTargetWorkers});
-  const int rounds = settings.small ? 4 : 40;
-  for (const int workers : sizes_of(settings)) {
-    if (workers > most) break;
+  const int repetitions = settings.small ? 4 : 40;
+  for (const int workers : worker_counts(settings)) {
+    if (workers > max_workers) break;
     ListClientHarness client;
-    EventSamples of_whole, of_change;
+    EventSamples whole_samples, change_samples;
     core::HostList list = endpoint_list(workers);
-    for (int i = 0; i < rounds; ++i, ++list.seq) of_whole.measure([&] { client.deliver(list); });
-    for (int i = 0; i < rounds; ++i, ++list.seq) {
+    for (int i = 0; i < repetitions; ++i, ++list.seq) whole_samples.measure([&] { client.deliver(list); });
+    for (int i = 0; i < repetitions; ++i, ++list.seq) {
       const auto state = i % 2 == 0 ? WorkerState::draining : WorkerState::ready;
-      const core::HostList one = endpoint_change(i / 2 % workers, list.seq, state);
-      of_change.measure([&] { client.deliver(one); });
+      const core::HostList changed = endpoint_change(i / 2 % workers, list.seq, state);
+      change_samples.measure([&] { client.deliver(changed); });
     }
-    whole.add(workers, of_whole);
-    change.add(workers, of_change);
+    whole.add(workers, whole_samples);
+    change.add(workers, change_samples);
   }
   whole.append_to(report);
   change.append_to(report);
@@ -97,12 +99,12 @@
   const LogSilencer silence;
   Report report{"list", settings.seed, {}, {}};
   sweep_codec(report, settings);
-  const int most = find_most_workers(sizes_of(settings).back());
-  sweep_client(report, settings, most);
-  const bool ends = most < sizes_of(settings).back();
-  report.facts.push_back({ends ? "most workers in a whole list that the client reads"
-                               : "the client reads every whole list up to",
-                          static_cast<double>(most), "workers"});
+  const int max_workers = find_max_workers(worker_counts(settings).back());
+  sweep_client(report, settings, max_workers);
+  const bool has_limit = max_workers < worker_counts(settings).back();
+  report.facts.push_back({has_limit ? "most workers in a whole list that the client reads"
+                                    : "the client reads every whole list up to",
+                          static_cast<double>(max_workers), "workers"});
   return report;
 }
 
--- a/src/lab/scale/module_harness.cpp
+++ b/src/lab/scale/module_harness.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr int kZones = 21, kKinds = 4;
-constexpr Micros kEventGap = 100us;
-constexpr double kRoomySlots = 64;
-constexpr int kAnswersToJudge = 6;  // the module judges a worker by itself from five answers on
+constexpr int kZoneCount = 21, kKindCount = 4;
+constexpr Micros kEventInterval = 100us;
+constexpr double kReportedFreeSlots = 64;
+constexpr int kResponsesPerWorker = 6;  // a worker has a limit of its own from five responses on
 
 }  // namespace
 
@@ -24,7 +24,7 @@
   settings.number = number;
   settings.zone = "zone-00";
   woadtide::ClassSettings task;
-  task.aim = 1'400ms;  // urgent work starts within this
+  task.aim = 1'400ms;  // urgent work has to start within this time
   task.stretch = 2;
   task.deadline = 1h;
   task.effect = Effect::safe;
@@ -43,8 +43,8 @@
   };
   woadtide::ListEntry entry;
   entry.worker = "worker-" + padded(number, 5);
-  entry.zone = "zone-" + padded(number % kZones, 2);
-  entry.kind = "kind-" + std::to_string(number % kKinds);
+  entry.zone = "zone-" + padded(number % kZoneCount, 2);
+  entry.kind = "kind-" + std::to_string(number % kKindCount);
   return entry;
 }
 
@@ -57,28 +57,28 @@
 
 ModuleHarness::ModuleHarness(ModuleSize size, std::uint64_t seed)
     : entries_(worker_entries(size.workers)), dispatcher_(module_settings(size.dispatchers, 0), seed) {
-  whole_list();
+  send_whole_list();
 }
 
 void ModuleHarness::feed(const woadtide::Event& event) {
-  now_ += kEventGap;
+  now_ += kEventInterval;
   actions_.clear();
   dispatcher_.handle(now_, event, actions_);
 }
 
-void ModuleHarness::whole_list() { feed(woadtide::ListUpdate{ListKind::full, entries_}); }
+void ModuleHarness::send_whole_list() { feed(woadtide::ListUpdate{ListKind::full, entries_}); }
 
-// One worker drains, or is ready again.
-void ModuleHarness::list_change() {
-  woadtide::ListEntry& entry = entries_[changed_++ % entries_.size()];
+// The next worker starts to drain, or becomes ready again.
+void ModuleHarness::send_list_change() {
+  woadtide::ListEntry& entry = entries_[change_count_++ % entries_.size()];
   entry.state = entry.state == WorkerState::ready ? WorkerState::draining : WorkerState::ready;
   feed(woadtide::ListUpdate{ListKind::changes, {entry}});
 }
 
-bool ModuleHarness::request() {
+bool ModuleHarness::send_request() {
   woadtide::Request request;
-  request.id = "request-" + std::to_string(++requests_);
-  request.hint = kTaskTime;
+  request.id = "request-" + std::to_string(++request_count_);
+  request.hint = kTaskDuration;
   request.time_left = 1h;
   feed(request);
   for (const woadtide::Action& action : actions_) {
@@ -90,39 +90,39 @@
   return false;
 }
 
-void ModuleHarness::note_start_of_newest() { feed(woadtide::JobStarted{in_flight_.back().id, 0}); }
+void ModuleHarness::report_start_of_newest() { feed(woadtide::JobStarted{in_flight_.back().id, 0}); }
 
 void ModuleHarness::finish_oldest() {
   const InFlight oldest = std::move(in_flight_.front());
   in_flight_.pop_front();
-  finish(oldest, std::nullopt);
+  complete(oldest, std::nullopt);
 }
 
-void ModuleHarness::finish(const InFlight& request, std::optional<woadtide::LoadReport> load) {
-  now_ = std::max(now_, request.sent + kTaskTime);
-  feed(woadtide::Outcome{request.id, 0, Status::ok, kTaskTime, true, std::move(load)});
+void ModuleHarness::complete(const InFlight& request, std::optional<woadtide::LoadReport> load) {
+  now_ = std::max(now_, request.sent_at + kTaskDuration);
+  feed(woadtide::Outcome{request.id, 0, Status::ok, kTaskDuration, true, std::move(load)});
 }
 
-void ModuleHarness::update_limits() { feed(woadtide::TimerFired{"limits"}); }
+void ModuleHarness::fire_limits_timer() { feed(woadtide::TimerFired{"limits"}); }
 
-std::size_t ModuleHarness::fill(std::size_t requests) {
-  while (in_flight() < requests && request()) note_start_of_newest();
+std::size_t ModuleHarness::fill_to(std::size_t requests) {
+  while (in_flight() < requests && send_request()) report_start_of_newest();
   return in_flight();
 }
 
-void ModuleHarness::let_workers_report() {
+void ModuleHarness::warm_up_workers() {
   woadtide::LoadReport report;
-  report.free_slots = kRoomySlots;
+  report.free_slots = kReportedFreeSlots;
   report.held = 0;
-  std::map<std::string, int> answers;
-  std::size_t judged = 0;
-  while (judged < entries_.size() && request()) {
+  std::map<std::string, int> responses;
+  std::size_t sampled_workers = 0;
+  while (sampled_workers < entries_.size() && send_request()) {
     const InFlight newest = std::move(in_flight_.back());
     in_flight_.pop_back();
-    finish(newest, report);
-    if (++answers[newest.worker] == kAnswersToJudge) judged += 1;
+    complete(newest, report);
+    if (++responses[newest.worker] == kResponsesPerWorker) sampled_workers += 1;
   }
-  update_limits();
+  fire_limits_timer();
 }
 
 }  // namespace woadtide::lab::scale
--- a/src/lab/scale/parts.cpp
+++ b/src/lab/scale/parts.cpp
@@ -30,9 +30,9 @@
 Report run_part(const std::string& name, const Settings& settings) {
   for (const Part& part : kParts)
     if (name == part.name) return part.run(settings);
-  std::string known;
-  for (const Part& part : kParts) known += std::string(known.empty() ? "" : ", ") + part.name;
-  throw std::invalid_argument("scale: no part '" + name + "'; there are " + known);
+  std::string names;
+  for (const Part& part : kParts) names += std::string(names.empty() ? "" : ", ") + part.name;
+  throw std::invalid_argument("scale: unknown part '" + name + "'; known parts: " + names);
 }
 
 }  // namespace woadtide::lab::scale
--- a/src/lab/scale/report.hpp
+++ b/src/lab/scale/report.hpp
@@ -1,4 +1,4 @@
-// A sweep's report as a table, as JSON and as a plot, with a fit for each series.
+// Formats a sweep's report as a table, as JSON and as a plot, with a fit for each series.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -10,19 +10,23 @@
 
 namespace woadtide::lab::scale {
 
+// The fits of one series.
 struct SeriesFit {
   LineFit line;
   std::optional<PowerFit> power;
   std::optional<Bend> bend;
 };
-// nullopt where a series has too few points.
+// Fits the medians of a series; nullopt if it has too few points.
 std::optional<SeriesFit> fit_series(const Series& series);
 
-std::string table_of(const Report& report);
-nlohmann::json json_of(const Report& report);
-// The gnuplot program that draws the report into `svg_path`, data included.
-std::string plot_of(const Report& report, const std::string& svg_path);
-// False where there is no gnuplot on this machine. Throws std::runtime_error where gnuplot fails.
+// The report as text.
+std::string format_table(const Report& report);
+// The report as JSON.
+nlohmann::json as_json(const Report& report);
+// The gnuplot program that draws the report into `svg_path`, including the data.
+std::string format_gnuplot(const Report& report, const std::string& svg_path);
+// Draws the report with gnuplot. Returns false if gnuplot is not installed. Throws std::runtime_error if
+// gnuplot fails.
 bool write_svg(const Report& report, const std::string& svg_path);
 
 }  // namespace woadtide::lab::scale
--- a/src/lab/scale/samples.cpp
+++ b/src/lab/scale/samples.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-// Of sorted values.
-double quantile(const std::vector<double>& values, double share) {
+// The quantile of sorted values, without interpolation.
+double quantile(const std::vector<double>& values, double fraction) {
   const auto last = static_cast<double>(values.size() - 1);
-  return values[static_cast<std::size_t>(share * last + 0.5)];
+  return values[static_cast<std::size_t>(fraction * last + 0.5)];
 }
 
 }  // namespace
 
-Point point_of(double size, std::vector<double> values) {
-  if (values.empty()) throw std::invalid_argument("scale: no samples");
+Point summarize(double size, std::vector<double> values) {
+  if (values.empty()) throw std::invalid_argument("scale: no samples to summarize");
   std::sort(values.begin(), values.end());
   return {size, quantile(values, 0.5), quantile(values, 0.1), quantile(values, 0.9), values.size()};
 }
@@ -27,8 +27,8 @@
       allocations_{event + ", allocations", against, "", {}, std::move(targets)} {}
 
 void EventSeries::add(double size, const EventSamples& samples) {
-  time_.points.push_back(samples.time(size));
-  allocations_.points.push_back(samples.allocated(size));
+  time_.points.push_back(samples.time_summary(size));
+  allocations_.points.push_back(samples.allocation_summary(size));
 }
 
 void EventSeries::append_to(Report& report) const {
--- a/src/lab/scale/scratch_folder.hpp
+++ b/src/lab/scale/scratch_folder.hpp
@@ -1,13 +1,15 @@
-// A folder for files of one run, removed at its end.
+// A temporary folder for the files of one run.
 #pragma once
 
 #include <string>
 
 namespace woadtide::lab::scale {
 
+// Creates a folder and removes it, with its contents, on destruction.
 class ScratchFolder {
  public:
-  // A new one in `parent`, which must be there; empty: in the system's folder for temporary files.
+  // Creates the folder in `parent`, which must exist; empty: in the system's temporary folder. Throws
+  // std::system_error if it cannot be created.
   explicit ScratchFolder(const std::string& parent);
   ~ScratchFolder();
   ScratchFolder(const ScratchFolder&) = delete;
--- a/src/lab/scale/stand_in_supervisors.cpp
+++ b/src/lab/scale/stand_in_supervisors.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr double kPatienceMs = 1'000, kLookMs = 20;
+constexpr double kCallTimeoutMs = 1'000, kPollIntervalMs = 20;
 
-// What a supervisor says whose dispatcher serves, in the form of supervise::Supervisor.
+// The status line of a supervisor whose dispatcher serves, in the format of supervise::Supervisor.
 std::string status_text() {
   const nlohmann::json child{{"slot", 0},
                              {"pid", 12345},
@@ -43,36 +43,38 @@
 
 }  // namespace
 
-StandInSupervisors::StandInSupervisors()
+FakeSupervisors::FakeSupervisors()
     : listener_(net::Socket::listen_at(net::Address("127.0.0.1:0"))),
       status_(status_text()),
       thread_("supervisors", [this] { run(); }) {}
 
-StandInSupervisors::~StandInSupervisors() {
-  ending_ = true;
+FakeSupervisors::~FakeSupervisors() {
+  stopping_ = true;
   thread_.join();
 }
 
-std::string StandInSupervisors::address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
+std::string FakeSupervisors::address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
 
-void StandInSupervisors::run() {
-  while (!ending_) {
-    const auto [ready, other] = net::wait_for(listener_.fd(), POLLIN, -1, clock_.now() + kLookMs, clock_);
-    if (ready != 0) answer_one();
+void FakeSupervisors::run() {
+  while (!stopping_) {
+    const auto [ready, unused] =
+        net::wait_for(listener_.fd(), POLLIN, -1, clock_.now() + kPollIntervalMs, clock_);
+    if (ready != 0) answer_call();
   }
 }
 
-// The whole call has come, or comes at once: the controller writes it as soon as it has connected.
-void StandInSupervisors::answer_one() {
+// Serves one call to its end before the next one is accepted: the controller writes the whole line as soon as
+// it has connected.
+void FakeSupervisors::answer_call() {
   net::Socket caller{net::Fd(::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
   if (!caller) return;
-  const double deadline = clock_.now() + kPatienceMs;
+  const double deadline = clock_.now() + kCallTimeoutMs;
   std::string call;
   char bytes[256];
-  std::size_t got = 0;
+  std::size_t received = 0;
   while (call.find('\n') == std::string::npos) {
-    if (caller.receive(bytes, sizeof bytes, got, deadline, clock_) != net::Io::done) return;
-    call.append(bytes, got);
+    if (caller.receive(bytes, sizeof bytes, received, deadline, clock_) != net::Io::done) return;
+    call.append(bytes, received);
   }
   caller.send({status_}, deadline, clock_);
   calls_ += 1;
--- a/src/lab/scale/store_part.cpp
+++ b/src/lab/scale/store_part.cpp
@@ -1,4 +1,4 @@
-// Durable jobs: the store over open jobs and over the records of one commit, and the lease table.
+// Sweeps of durable jobs: the store over open jobs and over records per commit, and the lease table.
 #include <string>
 
 #include "lab/scale/allocations.hpp"
@@ -12,13 +12,13 @@
 
 namespace {
 
-constexpr std::size_t kBodyBytes = 1'000, kMetaBytes = 250, kFillBatch = 500;
-constexpr std::uint64_t kMostBytes = 1ULL << 30;
-constexpr double kLeaseMs = 10'000;
+constexpr std::size_t kBodyBytes = 1'000, kMetaBytes = 250, kFillBatchRecords = 500;
+constexpr std::uint64_t kMaxStoreBytes = 1ULL << 30;
+constexpr double kLeaseDurationMs = 10'000;
 
 std::string key_of(int number) { return "job-key-" + std::to_string(number); }
 
-store::Record record_of(int number, store::Standing standing) {
+store::Record make_record(int number, store::Standing standing) {
   store::Record record;
   record.key = key_of(number);
   record.meta = std::string(kMetaBytes, 'm');
@@ -28,13 +28,14 @@
   return record;
 }
 
-store::Options options_in(const ScratchFolder& folder) { return {folder.path(), kMostBytes, true}; }
+store::Options options_in(const ScratchFolder& folder) { return {folder.path(), kMaxStoreBytes, true}; }
 
-void fill(store::Store& store, int from, int to) {
+// Appends open jobs `begin` to `end` - 1, in batches.
+void append_open_jobs(store::Store& store, int begin, int end) {
   std::vector<store::Record> batch;
-  for (int i = from; i < to; ++i) {
-    batch.push_back(record_of(i, store::Standing::open));
-    if (batch.size() < kFillBatch && i + 1 < to) continue;
+  for (int i = begin; i < end; ++i) {
+    batch.push_back(make_record(i, store::Standing::open));
+    if (batch.size() < kFillBatchRecords && i + 1 < end) continue;
     store.append(batch);
     batch.clear();
   }
@@ -42,8 +43,8 @@
 
 void sweep_open_jobs(Report& report, const Settings& settings) {
   const std::string against = "open jobs";
-  const std::vector<double> targets{kTargetRunning / kTargetDispatchers[1],
-                                    kTargetRunning / kTargetDispatchers[0], kTargetRunning};
+  const std::vector<double> targets{kTargetRunningTasks / kTargetDispatchers[1],
+                                    kTargetRunningTasks / kTargetDispatchers[0], kTargetRunningTasks};
   EventSeries take("commit of one new job", against, targets);
   EventSeries close("commit of one job's end", against, targets);
   EventSeries start("start: open the store and read all open jobs", against, targets);
@@ -51,39 +52,40 @@
   Series memory{"store, memory of its index of keys", against, "KB", {}, targets};
   std::vector<int> sizes{10, 100, 300, 1'000, 3'000, 10'000, 33'000};
   if (settings.small) sizes = {10, 40, 160};
-  const int rounds = settings.small ? 4 : 40;
+  const int repetitions = settings.small ? 4 : 40;
   for (const int jobs : sizes) {
     const ScratchFolder folder(settings.folder);
-    EventSamples of_take, of_close, of_start;
+    EventSamples take_samples, close_samples, start_samples;
     {
       store::Store store(options_in(folder));
-      fill(store, 0, jobs);
-      for (int i = 0; i < rounds; ++i) {
-        const std::vector<store::Record> one{record_of(jobs + i, store::Standing::open)};
-        of_take.measure([&] { store.append(one); });
+      append_open_jobs(store, 0, jobs);
+      for (int i = 0; i < repetitions; ++i) {
+        const std::vector<store::Record> records{make_record(jobs + i, store::Standing::open)};
+        take_samples.measure([&] { store.append(records); });
       }
-      for (int i = 0; i < rounds; ++i) {
-        store::Record end = record_of(jobs + i, store::Standing::closed);
+      for (int i = 0; i < repetitions; ++i) {
+        store::Record end = make_record(jobs + i, store::Standing::closed);
         end.result = std::string(kBodyBytes, 'r');
-        const std::vector<store::Record> one{end};
-        of_close.measure([&] { store.append(one); });
+        const std::vector<store::Record> records{end};
+        close_samples.measure([&] { store.append(records); });
       }
-      bytes.points.push_back(point_of(jobs, {static_cast<double>(store.bytes_used())}));
+      bytes.points.push_back(summarize(jobs, {static_cast<double>(store.bytes_used())}));
     }
-    const std::int64_t before = allocations().live_bytes;
+    const std::int64_t start_bytes = allocations().live_bytes;
     std::size_t read = 0;
     for (int i = 0; i < 3; ++i)
-      of_start.measure([&] {
+      start_samples.measure([&] {
         store::Store store(options_in(folder));
         store.read(store::Standing::open, [&](const store::Record&) { return ++read, true; });
       });
     const store::Store store(options_in(folder));
-    memory.points.push_back(point_of(jobs, {static_cast<double>(allocations().live_bytes - before) / 1024}));
-    take.add(jobs, of_take);
-    close.add(jobs, of_close);
-    start.add(jobs, of_start);
+    memory.points.push_back(
+        summarize(jobs, {static_cast<double>(allocations().live_bytes - start_bytes) / 1024}));
+    take.add(jobs, take_samples);
+    close.add(jobs, close_samples);
+    start.add(jobs, start_samples);
   }
-  for (const EventSeries* one : {&take, &close, &start}) one->append_to(report);
+  for (const EventSeries* series : {&take, &close, &start}) series->append_to(report);
   report.series.push_back(std::move(bytes));
   report.series.push_back(std::move(memory));
 }
@@ -94,44 +96,45 @@
   if (settings.small) sizes = {1, 4, 16};
   const ScratchFolder folder(settings.folder);
   store::Store store(options_in(folder));
-  int next = 0;
+  int next_job = 0;
   for (const int jobs : sizes) {
-    EventSamples of_commit;
+    EventSamples commit_samples;
     for (int i = 0; i < (settings.small ? 4 : 20); ++i) {
       std::vector<store::Record> records;
-      for (int k = 0; k < jobs; ++k) records.push_back(record_of(next++, store::Standing::open));
-      of_commit.measure([&] { store.append(records); });
+      for (int k = 0; k < jobs; ++k) records.push_back(make_record(next_job++, store::Standing::open));
+      commit_samples.measure([&] { store.append(records); });
     }
-    commit.add(jobs, of_commit);
+    commit.add(jobs, commit_samples);
   }
   commit.append_to(report);
 }
 
-// One job from its taking to its end, beside so many open ones under lease.
+// The whole life of one job, from its submission to its end, while this many other jobs are leased.
 void sweep_lease_table(Report& report, const Settings& settings) {
-  const std::vector<double> targets{kTargetRunning / kTargetDispatchers[1],
-                                    kTargetRunning / kTargetDispatchers[0], kTargetRunning};
+  const std::vector<double> targets{kTargetRunningTasks / kTargetDispatchers[1],
+                                    kTargetRunningTasks / kTargetDispatchers[0], kTargetRunningTasks};
   EventSeries life("lease table: one job's life", "open jobs", targets);
   Series memory{"lease table, memory", "open jobs", "KB", {}, targets};
   std::vector<int> sizes{10, 100, 300, 1'000, 3'000, 10'000, 33'000};
   if (settings.small) sizes = {10, 40, 160};
   for (const int jobs : sizes) {
-    const std::int64_t before = allocations().live_bytes;
-    lease::Table table({.lease_ms = kLeaseMs});
+    const std::int64_t start_bytes = allocations().live_bytes;
+    lease::Table table({.lease_ms = kLeaseDurationMs});
     std::vector<lease::Effect> effects;
     double now = 0;
-    const auto begin = [&](const std::string& key) {
+    const auto start_job = [&](const std::string& key) {
       table.handle(now, lease::Take{key, lease::Repeat::safe, 1e9, 0}, effects);
       table.handle(now, lease::Chosen{key, "worker", "ledger", true}, effects);
       effects.clear();
     };
-    for (int i = 0; i < jobs; ++i) begin(key_of(i));
-    memory.points.push_back(point_of(jobs, {static_cast<double>(allocations().live_bytes - before) / 1024}));
-    EventSamples of_life;
+    for (int i = 0; i < jobs; ++i) start_job(key_of(i));
+    memory.points.push_back(
+        summarize(jobs, {static_cast<double>(allocations().live_bytes - start_bytes) / 1024}));
+    EventSamples life_samples;
     for (int i = 0; i < (settings.small ? 8 : 500); ++i) {
       const std::string key = key_of(jobs + i);
-      of_life.measure([&] {
-        begin(key);
+      life_samples.measure([&] {
+        start_job(key);
         const std::uint64_t epoch = table.find(key)->epoch;
         table.handle(now, lease::Heard{key, epoch}, effects);
         table.handle(now, lease::Ended{key, epoch, lease::End::done}, effects);
@@ -139,7 +142,7 @@
         effects.clear();
       });
     }
-    life.add(jobs, of_life);
+    life.add(jobs, life_samples);
   }
   life.append_to(report);
   report.series.push_back(std::move(memory));
--- a/src/lab/scale/supervisor_part.cpp
+++ b/src/lab/scale/supervisor_part.cpp
@@ -1,5 +1,5 @@
-// A supervisor's core. Its state grows with the workers that operators exclude by hand, and with nothing
-// else.
+// Sweep of a supervisor's core. Its state grows only with the number of workers that operators exclude
+// manually.
 #include <string>
 
 #include "lab/scale/module_harness.hpp"
@@ -30,21 +30,21 @@
   EventSeries text("state's text over excluded workers", "excluded workers", {kTargetWorkers});
   EventSeries reading("state read again over excluded workers", "excluded workers", {kTargetWorkers});
   Series bytes{"state, bytes", "excluded workers", "bytes", {}, {kTargetWorkers}};
-  const int rounds = settings.small ? 8 : 100;
+  const int repetitions = settings.small ? 8 : 100;
   for (const int excluded : sizes) {
     supervise::Core core = serving_core();
     for (int i = 0; i < excluded; ++i) core.exclude(worker_entry(i).worker, true);
-    EventSamples of_tick, of_text, of_reading;
+    EventSamples tick_samples, text_samples, reading_samples;
     std::string state;
-    for (int i = 0; i < rounds; ++i) {
-      of_tick.measure([&] { core.tick((2 + i) * kTickMs); });
-      of_text.measure([&] { state = core.text(); });
-      of_reading.measure([&] { supervise::Core::from(state, {}); });
+    for (int i = 0; i < repetitions; ++i) {
+      tick_samples.measure([&] { core.tick((2 + i) * kTickMs); });
+      text_samples.measure([&] { state = core.text(); });
+      reading_samples.measure([&] { supervise::Core::from(state, {}); });
     }
-    tick.add(excluded, of_tick);
-    text.add(excluded, of_text);
-    reading.add(excluded, of_reading);
-    bytes.points.push_back(point_of(excluded, {static_cast<double>(state.size())}));
+    tick.add(excluded, tick_samples);
+    text.add(excluded, text_samples);
+    reading.add(excluded, reading_samples);
+    bytes.points.push_back(summarize(excluded, {static_cast<double>(state.size())}));
   }
   tick.append_to(report);
   text.append_to(report);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-// The harness of scaling sweeps: its fits on known data, and counts that hold at any size. Times are compared
-// within one run only, with wide bounds.
+// Tests of the scaling sweeps: the fits on known data, and counts that are independent of the size. Times are
+// compared only within one run, with wide bounds.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -33,21 +33,21 @@
   return observations;
 }
 
-// Multiplies by up to 1 +- `share`, evenly drawn.
+// Multiplies a value by a factor drawn uniformly from 1 - `amplitude` to 1 + `amplitude`.
 class Noise {
  public:
-  Noise(double share, std::uint64_t seed) : share_(share), random_(seed) {}
+  Noise(double amplitude, std::uint64_t seed) : amplitude_(amplitude), random_(seed) {}
   double operator()(double value) {
     const double draw = static_cast<double>(random_() >> 11) * 0x1p-53;
-    return value * (1 + share_ * (2 * draw - 1));
+    return value * (1 + amplitude_ * (2 * draw - 1));
   }
 
  private:
-  double share_;
+  double amplitude_;
   std::mt19937_64 random_;
 };
 
-TEST_CASE("fit: an exact line is found, without error and without a bend") {
+TEST_CASE("fit: an exact line is fitted with zero error and no bend") {
   const auto observations = observe([](double size) { return 3 + 0.25 * size; });
   const LineFit fit = fit_line(observations);
   CHECK(fit.intercept.value == doctest::Approx(3));
@@ -57,7 +57,7 @@
   CHECK(!find_bend(observations));
 }
 
-TEST_CASE("fit: a quadratic has exponent 2, and is no line") {
+TEST_CASE("fit: quadratic data has exponent 2 and does not fit a line") {
   const auto observations = observe([](double size) { return 0.5 * size * size; });
   const auto power = fit_power(observations);
   REQUIRE(power);
@@ -67,7 +67,7 @@
   CHECK(fit_line(observations).relative_residual > 0.3);
 }
 
-TEST_CASE("fit: a bend is found where it is, with both slopes, also through noise") {
+TEST_CASE("fit: a bend is located with both slopes, also in noisy data") {
   const auto bent = [](double size) { return 10 + size + 4 * std::max(0.0, size - 800); };
   const auto exact = find_bend(observe(bent));
   REQUIRE(exact);
@@ -83,7 +83,8 @@
   CHECK(found >= 90);
 }
 
-TEST_CASE("fit: noise alone is seldom taken for a bend, and the slope's error covers the truth") {
+TEST_CASE(
+    "fit: noise rarely yields a false bend, and the slope's confidence interval covers the true slope") {
   int false_bends = 0, covered = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Noise noise(0.1, seed);
@@ -97,28 +98,28 @@
   CHECK(covered >= 180);
 }
 
-TEST_CASE("fit: too few observations, and values without a logarithm, are refused") {
+TEST_CASE("fit: too few observations and non-positive values are rejected") {
   CHECK_THROWS_AS(fit_line({{1, 1}, {2, 2}}), std::invalid_argument);
   CHECK_THROWS_AS(fit_line({{1, 1}, {1, 2}, {1, 3}}), std::invalid_argument);
   CHECK(!fit_power({{1, 0}, {2, 1}, {3, 2}}));
 }
 
-TEST_CASE("samples: median and tenths, whatever their order") {
-  const Point point = point_of(7, {5, 1, 2, 3, 4, 11, 6, 7, 8, 9, 10});
+TEST_CASE("samples: median and 10th and 90th percentiles of unsorted values") {
+  const Point point = summarize(7, {5, 1, 2, 3, 4, 11, 6, 7, 8, 9, 10});
   CHECK(point.size == 7);
   CHECK(point.median == 6);
   CHECK(point.low == 2);
   CHECK(point.high == 10);
-  CHECK_THROWS_AS(point_of(1, {}), std::invalid_argument);
+  CHECK_THROWS_AS(summarize(1, {}), std::invalid_argument);
 }
 
 TEST_CASE("allocations: the hook counts calls and live bytes") {
   const Allocations before = allocations();
   auto* const text = new std::string(1'000, 'x');
-  const Allocations held = allocations();
+  const Allocations while_held = allocations();
   delete text;
-  CHECK(held.count - before.count == 2);
-  CHECK(held.live_bytes - before.live_bytes >= 1'000);
+  CHECK(while_held.count - before.count == 2);
+  CHECK(while_held.live_bytes - before.live_bytes >= 1'000);
   CHECK(allocations().live_bytes == before.live_bytes);
 }
 
@@ -128,67 +129,67 @@
   return allocations().count - before;
 }
 
-TEST_CASE("module: a request, its start and its outcome take the same actions at any number of workers") {
+TEST_CASE("module: a request, its start and its outcome cause the same actions at any number of workers") {
   for (const int workers : {50, 400, 1'600}) {
     CAPTURE(workers);
     ModuleHarness module({workers, 300}, 1);
-    module.fill(20);
-    REQUIRE(module.request());
-    CHECK(module.actions().size() == 2);  // the send, and the timer of its start
-    module.note_start_of_newest();
+    module.fill_to(20);
+    REQUIRE(module.send_request());
+    CHECK(module.actions().size() == 2);  // the send, and the timer for its start
+    module.report_start_of_newest();
     CHECK(module.actions().empty());
     module.finish_oldest();
     CHECK(module.actions().empty());
   }
 }
 
-TEST_CASE("module: what a request allocates grows as a vector of candidates does, not with the list") {
+TEST_CASE("module: allocations of a request grow like a vector of candidates, not like the list") {
   const auto of_request = [](int workers) {
     ModuleHarness module({workers, 300}, 1);
-    module.fill(20);
-    return allocations_of([&] { module.request(); });
+    module.fill_to(20);
+    return allocations_of([&] { module.send_request(); });
   };
-  const std::uint64_t few = of_request(50), many = of_request(1'600);
-  MESSAGE("allocations of a request: " << few << " at 50 workers, " << many << " at 1,600");
-  CHECK(many - few <= 5);  // 1,600 is 32 times 50: five doublings
-  CHECK(of_request(1'600) == many);
+  const std::uint64_t few_workers = of_request(50), many_workers = of_request(1'600);
+  MESSAGE("allocations of a request: " << few_workers << " at 50 workers, " << many_workers << " at 1,600");
+  CHECK(many_workers - few_workers <= 5);  // 1,600 is 32 times 50: five doublings
+  CHECK(of_request(1'600) == many_workers);
 }
 
-TEST_CASE("module: a list change allocates the same at any number of workers; a whole list by the worker") {
+TEST_CASE("module: allocations of a list change are constant, of a complete list at most linear") {
   const auto of_change = [](int workers) {
     ModuleHarness module({workers, 300}, 1);
-    module.list_change();
-    return allocations_of([&] { module.list_change(); });
+    module.send_list_change();
+    return allocations_of([&] { module.send_list_change(); });
   };
   CHECK(of_change(50) == of_change(1'600));
   const auto of_whole = [](int workers) {
     ModuleHarness module({workers, 300}, 1);
-    return static_cast<double>(allocations_of([&] { module.whole_list(); }));
+    return static_cast<double>(allocations_of([&] { module.send_whole_list(); }));
   };
   const double ratio = of_whole(1'600) / of_whole(50);
   CHECK(ratio <= 33);
 }
 
-TEST_CASE("module: the cost of a request over workers is no more than linear, within one run") {
+TEST_CASE("module: the time of a request grows at most linearly with the number of workers") {
   const auto of_request = [](int workers) {
     ModuleHarness module({workers, 300}, 1);
-    module.fill(20);
+    module.fill_to(20);
     EventSamples samples;
     for (int i = 0; i < 64; ++i) {
       bool sent = false;
-      samples.measure([&] { sent = module.request(); });
+      samples.measure([&] { sent = module.send_request(); });
       if (sent) module.finish_oldest();
     }
-    return samples.time(workers).median;
+    return samples.time_summary(workers).median;
   };
   const double ratio = of_request(1'600) / of_request(100);
   MESSAGE("a request at 1,600 workers costs " << ratio << " times that at 100");
   CHECK(ratio < 16 * 8);
 }
 
-// All that is counted, without times and memory.
+// The counts of a report, without times, memory and fits.
 nlohmann::json counts_of(const Report& report) {
-  nlohmann::json counts = json_of(report);
+  nlohmann::json counts = as_json(report);
   for (auto& series : counts["series"]) series.erase("fit");
   std::erase_if(counts["series"].get_ref<nlohmann::json::array_t&>(), [](const nlohmann::json& series) {
     return series["unit"] == "us" || series["unit"] == "KB";
@@ -196,7 +197,7 @@
   return counts;
 }
 
-TEST_CASE("parts: counts are the same each time, and another seed's are other ones") {
+TEST_CASE("parts: counts are reproducible for a seed and differ between seeds") {
   Settings settings;
   settings.small = true;
   for (const char* part : {"module", "admission", "crowd"}) {
@@ -208,31 +209,31 @@
     settings.seed = 2;
     CHECK(first != counts_of(run_part(part, settings)));
   }
-  CHECK_THROWS_AS(run_part("lantern", settings), std::invalid_argument);
+  CHECK_THROWS_AS(run_part("unknown", settings), std::invalid_argument);
 }
 
-TEST_CASE("crowd: after a start of all, calls for the list are spread, and all get it") {
-  ListCrowd crowd;
-  crowd.dispatchers = 100;
-  crowd.call_time = std::chrono::milliseconds(60);
-  const ListCrowdResult result = simulate(crowd, 1);
+TEST_CASE("crowd: after a simultaneous start, calls for the list are spread and all dispatchers get it") {
+  ListCrowdLoad load;
+  load.dispatchers = 100;
+  load.call_time = std::chrono::milliseconds(60);
+  const ListCrowdResult result = simulate(load, 1);
   CHECK(result.subscribed == 100);
   CHECK(result.failed_calls == 0);
   CHECK(result.calls == 100);
-  CHECK(result.most_calls_in_a_second <= 40);
+  CHECK(result.max_calls_per_second <= 40);
 }
 
-TEST_CASE("admission: where limits leave room, nothing is refused and what is offered runs") {
+TEST_CASE("admission: below the limits, no task is refused and the offered load runs") {
   AdmissionLoad load;
   load.workers = 200;
   load.dispatchers = 1'000;
   const AdmissionResult result = simulate(load, 1);
   CHECK(result.refused == 0);
-  CHECK(result.asked > 100);
+  CHECK(result.requests > 100);
   CHECK(result.mean_running == doctest::Approx(result.offered_running).epsilon(0.25));
 }
 
-TEST_CASE("list: bytes grow by the worker, and one change has the same size whatever the list") {
+TEST_CASE("list: its size is linear in the workers, and the size of one change is constant") {
   const auto bytes = [](int workers) {
     return static_cast<double>(core::text_of(endpoint_list(workers)).size());
   };
@@ -240,7 +241,7 @@
   CHECK(core::text_of(endpoint_change(7, 2, WorkerState::draining)).size() <= 256);
 }
 
-TEST_CASE("list: the client tells on a list and a change, and a line that it cannot read is no list") {
+TEST_CASE("list: the client reports a list and a change, and no list for a line that it cannot parse") {
   core::set_log_sink([](std::string_view) {});
   ListClientHarness client;
   CHECK(client.deliver(endpoint_list(100)));
@@ -249,23 +250,24 @@
   core::set_log_sink(nullptr);
 }
 
-TEST_CASE("controller: all members are ordered to check in one tick, and a change moves each once") {
+TEST_CASE("controller: the first tick orders every member to check, and a change moves each member once") {
   for (const int members : {10, 40}) {
     CAPTURE(members);
     ChangeHarness fleet(members, 1);
-    fleet.finish_checks();
+    fleet.complete_checks();
     CHECK(fleet.orders_at_first_tick() == static_cast<std::size_t>(members));
     std::size_t moved = 0;
     for (int stage = 0; stage < 10 && !fleet.rollout().over(); ++stage) {
-      moved += fleet.move_stage();
-      fleet.next_stage();
+      moved += fleet.move_allowed_members();
+      fleet.approve_stage();
     }
     CHECK(moved == static_cast<std::size_t>(members));
     CHECK(fleet.rollout().phase() == rollout::Phase::complete);
   }
 }
 
-TEST_CASE("store and supervisor: small sweeps run, and a commit allocates the same beside many open jobs") {
+TEST_CASE(
+    "store and supervisor: small sweeps run, and allocations of a commit do not depend on the open jobs") {
   Settings settings;
   settings.small = true;
   const Report store = run_part("store", settings);
@@ -277,24 +279,24 @@
   const Report supervisor = run_part("supervisor", settings);
   const Series& bytes = supervisor.series.back();
   CHECK(bytes.name == "state, bytes");
-  CHECK(fit_series(bytes)->line.slope.value < 64);  // of a name and its quotes
+  CHECK(fit_series(bytes)->line.slope.value < 64);  // bytes per worker: a name and its quotes
 }
 
-TEST_CASE("report: the plot holds each series, and a quote in a name does no harm") {
+TEST_CASE("report: the plot contains each series, and a quote in a name is escaped") {
   Report report{"module", 1, {{"it's time", "workers", "us", {{1, 2, 2, 2, 1}}, {}}}, {}};
-  const std::string plot = plot_of(report, "/nowhere/plot.svg");
+  const std::string plot = format_gnuplot(report, "/nowhere/plot.svg");
   CHECK(plot.find("title 'it''s time'") != std::string::npos);
-  CHECK(table_of(report).find("too few points for a fit") != std::string::npos);
+  CHECK(format_table(report).find("too few points for a fit") != std::string::npos);
 }
 
-TEST_CASE("report: a line that does not fit tells nothing of other sizes") {
+TEST_CASE("report: a line that does not fit is not extrapolated to other sizes") {
   Report report{
       "module", 1, {{"cubic", "workers", "us", {}, {10'000}}, {"line", "workers", "us", {}, {10'000}}}, {}};
   for (const double size : kSizes) {
-    report.series[0].points.push_back(point_of(size, {size * size * size}));
-    report.series[1].points.push_back(point_of(size, {3 * size}));
+    report.series[0].points.push_back(summarize(size, {size * size * size}));
+    report.series[1].points.push_back(summarize(size, {3 * size}));
   }
-  const std::string table = table_of(report);
+  const std::string table = format_table(report);
   CHECK(table.find("no line fits; power law at 10000: 1000000000000 us (extrapolated)") != std::string::npos);
   CHECK(table.find("  line at 10000: 30000 +- 0 us (extrapolated)") != std::string::npos);
 }
