--- a/bench/jobs_bench.cpp
+++ b/bench/jobs_bench.cpp
@@ -1,9 +1,10 @@
-// Durable takes and starts, for docs/measured/jobs.md.
+// Benchmark of accepting durable jobs and of the start of the program; see docs/measured/jobs.md.
 //
-//   jobs_bench takes FOLDER             takes against a bare write and fdatasync of the same bytes, against
-//   the same
-//                                       front with syncs off, and against one commit each on a slow disk
-//   jobs_bench start FOLDER PROGRAM     the program's start with 1,000,000 finished and 10,000 open jobs
+//   jobs_bench takes FOLDER
+//       accepting jobs, compared with a bare write and fdatasync of the same bytes, with the same HTTP front
+//       end without syncs, and with one commit per job on a slow disk
+//   jobs_bench start FOLDER PROGRAM
+//       start of the program with 1,000,000 finished and 10,000 open jobs
 #include <fcntl.h>
 #include <poll.h>
 #include <unistd.h>
@@ -38,7 +39,7 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 
-constexpr int kWorkers = 16;
+constexpr int kWorkerCount = 16;
 
 double now_us() { return core::Clock().now() * 1'000; }
 
@@ -58,10 +59,10 @@
   return lab::config_json(discovery.list(), discovery.dial(), port, 1'024, 2'000);
 }
 
-// A dispatcher of this process, with its workers.
-struct Rig {
-  Rig(const fs::path& folder, const std::function<void(jobs::Settings&)>& tweak) {
-    for (int i = 0; i < kWorkers; ++i) {
+// A dispatcher in this process and its workers.
+struct BenchDispatcher {
+  BenchDispatcher(const fs::path& folder, const std::function<void(jobs::Settings&)>& adjust_settings) {
+    for (int i = 0; i < kWorkerCount; ++i) {
       workers.push_back(
           std::make_unique<lab::Worker>(0, "", false, [](const lab::Begun&) { return lab::Plan{0}; }));
       discovery.set("w" + std::to_string(i), workers.back()->dial());
@@ -72,9 +73,9 @@
     part.most_mb = 4'096;
     part.links = 128;
     node.emplace(core::read_config(config_of(discovery, 0)), clock, [&](const Parts& parts) {
-      auto made = std::make_unique<jobs::Installation>(part, parts, tweak);
-      installation = made.get();
-      return made;
+      auto created = std::make_unique<jobs::Installation>(part, parts, adjust_settings);
+      installation = created.get();
+      return created;
     });
     while (installation->port() == 0) ::usleep(1'000);
   }
@@ -85,95 +86,99 @@
   std::optional<Node> node;
 };
 
-struct Rate {
-  double takes = 0, refused = 0, p50_us = 0;
+// Jobs accepted and refused per second, and the median time of an accepted request.
+struct DriveResult {
+  double accepted_per_s = 0, refused_per_s = 0, p50_us = 0;
 };
 
-Rate drive(const fs::path& folder, int clients, double seconds, std::size_t body_size,
-           const std::function<void(jobs::Settings&)>& tweak) {
+DriveResult drive_clients(const fs::path& folder, int clients, double seconds, std::size_t body_size,
+                          const std::function<void(jobs::Settings&)>& adjust_settings) {
   fs::remove_all(folder);
-  Rig rig(folder, tweak);
+  BenchDispatcher dispatcher(folder, adjust_settings);
   const std::string body(body_size, 'x');
-  std::atomic<bool> counts{false}, over{false};
-  std::atomic<int> takes{0}, refused{0};
+  std::atomic<bool> is_measuring{false}, stop{false};
+  std::atomic<int> accepted{0}, refused{0};
   std::vector<std::vector<double>> times(static_cast<std::size_t>(clients));
   std::vector<std::thread> threads;
   for (int number = 0; number < clients; ++number)
     threads.emplace_back([&, number] {
-      lab::JobClient client(rig.installation->port());
-      for (int i = 0; !over; ++i) {
+      lab::JobClient client(dispatcher.installation->port());
+      for (int i = 0; !stop; ++i) {
         const std::string key = "b" + std::to_string(number) + '-' + std::to_string(i);
-        std::optional<lab::Heard> heard;
+        std::optional<lab::Heard> response;
         const double us =
-            timed_us([&] { heard = client.put(key, false, body, 5'000, client.now() + 5'000); });
-        const bool good = heard && (heard->status == 202 || heard->status == 200);
+            timed_us([&] { response = client.put(key, false, body, 5'000, client.now() + 5'000); });
+        const bool good = response && (response->status == 202 || response->status == 200);
         if (!good) ::usleep(300);
-        if (!counts) continue;
-        (good ? takes : refused) += 1;
+        if (!is_measuring) continue;
+        (good ? accepted : refused) += 1;
         if (good) times[static_cast<std::size_t>(number)].push_back(us);
       }
     });
-  ::usleep(1'500'000);  // until the limits have opened
-  counts = true;
+  ::usleep(1'500'000);  // until the concurrency limits have grown
+  is_measuring = true;
   ::usleep(static_cast<useconds_t>(seconds * 1e6));
-  counts = false;
-  over = true;
+  is_measuring = false;
+  stop = true;
   for (auto& thread : threads) thread.join();
   std::vector<double> all;
-  for (const auto& some : times) all.insert(all.end(), some.begin(), some.end());
-  return {takes / seconds, refused / seconds, all.empty() ? 0 : median(std::move(all))};
+  for (const auto& client_times : times) all.insert(all.end(), client_times.begin(), client_times.end());
+  return {accepted / seconds, refused / seconds, all.empty() ? 0 : median(std::move(all))};
 }
 
-// Each of the two in turn, so that both meet the same disk.
-void against_bare(const fs::path& folder, std::size_t body_size) {
+// Alternates between the two, so that both run under the same disk conditions.
+void compare_with_bare_write(const fs::path& folder, std::size_t body_size) {
   fs::remove_all(folder);
   store::Store store({(folder / "store").string(), 4ULL << 30, true});
   const int fd = ::open((folder / "bare").c_str(), O_CREAT | O_WRONLY | O_APPEND, 0600);
   const std::string body(body_size, 'x'), meta(420, 'm');
-  std::vector<double> bare, ours;
+  std::vector<double> bare, durable;
   for (int i = 0; i < 3'000; ++i) {
     const std::string key = "k" + std::to_string(i);
     bare.push_back(timed_us([&] {
       const std::string all = key + meta + body;
       if (::write(fd, all.data(), all.size()) < 0 || ::fdatasync(fd) != 0) std::perror("bare");
     }));
-    ours.push_back(timed_us([&] { store.append({{key, meta, store::Standing::open, 1, body, {}}}); }));
+    durable.push_back(timed_us([&] { store.append({{key, meta, store::Standing::open, 1, body, {}}}); }));
   }
   ::close(fd);
-  const double a = median(bare), b = median(ours);
+  const double bare_us = median(bare), durable_us = median(durable);
   std::printf("store, 1 client, %zu B: bare p50 %.1f us, durable take p50 %.1f us, ratio %.2f\n", body_size,
-              a, b, b / a);
+              bare_us, durable_us, durable_us / bare_us);
 }
 
-int takes(const fs::path& folder) {
+int run_takes(const fs::path& folder) {
   lab::install_fault_vfs();
   lab::set_fault(lab::Fault::none, 0);
-  for (const std::size_t body : {1'000, 60'000}) against_bare(folder, body);
+  for (const std::size_t body : {1'000, 60'000}) compare_with_bare_write(folder, body);
   const auto synced = [](jobs::Settings&) {};
   const auto unsynced = [](jobs::Settings& settings) { settings.store.synced = false; };
-  const auto one_each = [](jobs::Settings& settings) { settings.most_group = 1; };
-  const Rate one = drive(folder, 1, 3, 1'000, synced), one_off = drive(folder, 1, 3, 1'000, unsynced);
-  std::printf("front, 1 client, 1000 B: PUT p50 %.1f us, with syncs off %.1f us\n", one.p50_us,
-              one_off.p50_us);
+  const auto single_commits = [](jobs::Settings& settings) { settings.most_group = 1; };
+  const DriveResult single_client = drive_clients(folder, 1, 3, 1'000, synced),
+                    single_client_unsynced = drive_clients(folder, 1, 3, 1'000, unsynced);
+  std::printf("front, 1 client, 1000 B: PUT p50 %.1f us, with syncs off %.1f us\n", single_client.p50_us,
+              single_client_unsynced.p50_us);
   std::vector<double> ratios;
   for (int round = 0; round < 3; ++round) {
-    const Rate on = drive(folder, 64, 3, 1'000, synced), off = drive(folder, 64, 3, 1'000, unsynced);
-    ratios.push_back(on.takes / off.takes);
+    const DriveResult on = drive_clients(folder, 64, 3, 1'000, synced),
+                      off = drive_clients(folder, 64, 3, 1'000, unsynced);
+    ratios.push_back(on.accepted_per_s / off.accepted_per_s);
     std::printf(
         "front, 64 clients: %.0f takes/s, syncs off %.0f, ratio %.2f (refused %.0f and %.0f a second)\n",
-        on.takes, off.takes, ratios.back(), on.refused, off.refused);
+        on.accepted_per_s, off.accepted_per_s, ratios.back(), on.refused_per_s, off.refused_per_s);
   }
   std::printf("front, 64 clients: median ratio %.2f\n", median(ratios));
   lab::set_fault(lab::Fault::none, 0, 5);
-  const Rate grouped = drive(folder, 64, 4, 1'000, synced), single = drive(folder, 64, 4, 1'000, one_each);
+  const DriveResult grouped = drive_clients(folder, 64, 4, 1'000, synced),
+                    single = drive_clients(folder, 64, 4, 1'000, single_commits);
   std::printf("front, 64 clients, 5 ms on each sync: %.0f takes/s, one commit each %.0f, ratio %.1f\n",
-              grouped.takes, single.takes, grouped.takes / single.takes);
+              grouped.accepted_per_s, single.accepted_per_s, grouped.accepted_per_s / single.accepted_per_s);
   lab::set_fault(lab::Fault::none, 0);
   fs::remove_all(folder);
   return 0;
 }
 
-int start(const fs::path& folder, const std::string& program) {
+int run_start(const fs::path& folder, const std::string& program) {
   fs::remove_all(folder);
   fs::create_directories(folder);
   const double now = core::Clock().now();
@@ -227,8 +232,8 @@
                          {}, (folder / "log").string());
     lab::JobClient client(ports[1]);
     for (;;) {
-      const auto heard = client.call("GET /health/ready HTTP/1.1\r\n\r\n", client.now() + 1'000);
-      if (heard && heard->status == 200) break;
+      const auto response = client.call("GET /health/ready HTTP/1.1\r\n\r\n", client.now() + 1'000);
+      if (response && response->status == 200) break;
       ::usleep(500);
     }
     const double ms = (now_us() - from) / 1'000;
@@ -247,8 +252,8 @@
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
   const std::string what = argc > 1 ? argv[1] : "";
-  if (what == "takes" && argc == 3) return takes(argv[2]);
-  if (what == "start" && argc == 4) return start(argv[2], argv[3]);
+  if (what == "takes" && argc == 3) return run_takes(argv[2]);
+  if (what == "start" && argc == 4) return run_start(argv[2], argv[3]);
   std::fprintf(stderr, "jobs_bench takes FOLDER | jobs_bench start FOLDER PROGRAM\n");
   return 2;
 }
--- a/bench/proc.hpp
+++ b/bench/proc.hpp
@@ -1,4 +1,4 @@
-// What /proc tells of a process.
+// Process statistics from /proc, for the benchmarks.
 #pragma once
 
 #include <unistd.h>
@@ -8,7 +8,7 @@
 
 namespace woadtide::bench {
 
-// CPU of all its threads since its start, microseconds.
+// CPU time of all threads of a process since its start, in microseconds.
 inline double cpu_us(pid_t pid) {
   std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
   std::string word;
@@ -18,7 +18,7 @@
   return static_cast<double>(ticks) * 1e6 / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
-// A line of its status, without the name.
+// The value of one line of /proc/PID/status; empty if there is no such line.
 inline std::string status_line(pid_t pid, const std::string& name) {
   std::ifstream status("/proc/" + std::to_string(pid) + "/status");
   std::string line;
--- a/bench/store_compare.cpp
+++ b/bench/store_compare.cpp
@@ -1,6 +1,6 @@
-// Takes, leases and finishes jobs on LMDB, SQLite and RocksDB, each with every commit synced, beside a bare
-// write and fdatasync of the same bytes: what docs/design/durable-jobs.md chose the store by. One writer
-// commits for all clients, as the dispatcher does, so "64 clients" is a commit of 64 jobs.
+// Compares LMDB, SQLite and RocksDB as the store of durable jobs with a bare write and fdatasync of the same
+// bytes; see docs/design/durable-jobs.md. Jobs are accepted, leased and finished, and every commit is synced
+// to disk. One writer commits for all clients, as in the dispatcher, so "64 clients" is a commit of 64 jobs.
 #include <fcntl.h>
 #include <lmdb.h>
 #include <rocksdb/db.h>
@@ -23,26 +23,27 @@
 namespace fs = std::filesystem;
 using Batch = std::vector<std::pair<std::string, std::string>>;
 
+// A store under comparison. `commit` returns after the pairs are durable.
 class Engine {
  public:
   virtual ~Engine() = default;
   virtual void commit(const Batch& puts) = 0;
 };
 
-void must(bool good, const char* what) {
+void require(bool good, const char* what) {
   if (!good) throw std::runtime_error(what);
 }
 
-class Bare : public Engine {
+class BareFile : public Engine {
  public:
-  explicit Bare(const fs::path& at)
-      : fd_(::open((at / "bare").c_str(), O_CREAT | O_WRONLY | O_APPEND, 0600)) {}
-  ~Bare() override { ::close(fd_); }
+  explicit BareFile(const fs::path& folder)
+      : fd_(::open((folder / "bare").c_str(), O_CREAT | O_WRONLY | O_APPEND, 0600)) {}
+  ~BareFile() override { ::close(fd_); }
   void commit(const Batch& puts) override {
     std::string all;
     for (const auto& [key, value] : puts) all += key + value;
-    must(::write(fd_, all.data(), all.size()) == static_cast<ssize_t>(all.size()), "write");
-    must(::fdatasync(fd_) == 0, "fdatasync");
+    require(::write(fd_, all.data(), all.size()) == static_cast<ssize_t>(all.size()), "write");
+    require(::fdatasync(fd_) == 0, "fdatasync");
   }
 
  private:
@@ -51,24 +52,24 @@
 
 class Lmdb : public Engine {
  public:
-  explicit Lmdb(const fs::path& at) {
-    must(mdb_env_create(&env_) == 0 && mdb_env_set_mapsize(env_, std::size_t{4} << 30) == 0 &&
-             mdb_env_open(env_, at.c_str(), 0, 0600) == 0,
-         "lmdb open");
+  explicit Lmdb(const fs::path& folder) {
+    require(mdb_env_create(&env_) == 0 && mdb_env_set_mapsize(env_, std::size_t{4} << 30) == 0 &&
+                mdb_env_open(env_, folder.c_str(), 0, 0600) == 0,
+            "lmdb open");
     MDB_txn* txn = nullptr;
-    must(mdb_txn_begin(env_, nullptr, 0, &txn) == 0 && mdb_dbi_open(txn, nullptr, 0, &dbi_) == 0 &&
-             mdb_txn_commit(txn) == 0,
-         "lmdb dbi");
+    require(mdb_txn_begin(env_, nullptr, 0, &txn) == 0 && mdb_dbi_open(txn, nullptr, 0, &dbi_) == 0 &&
+                mdb_txn_commit(txn) == 0,
+            "lmdb dbi");
   }
   ~Lmdb() override { mdb_env_close(env_); }
   void commit(const Batch& puts) override {
     MDB_txn* txn = nullptr;
-    must(mdb_txn_begin(env_, nullptr, 0, &txn) == 0, "lmdb begin");
+    require(mdb_txn_begin(env_, nullptr, 0, &txn) == 0, "lmdb begin");
     for (const auto& [key, value] : puts) {
       MDB_val k{key.size(), const_cast<char*>(key.data())}, v{value.size(), const_cast<char*>(value.data())};
-      must(mdb_put(txn, dbi_, &k, &v, 0) == 0, "lmdb put");
+      require(mdb_put(txn, dbi_, &k, &v, 0) == 0, "lmdb put");
     }
-    must(mdb_txn_commit(txn) == 0, "lmdb commit");
+    require(mdb_txn_commit(txn) == 0, "lmdb commit");
   }
 
  private:
@@ -78,14 +79,14 @@
 
 class Sqlite : public Engine {
  public:
-  explicit Sqlite(const fs::path& at) {
-    must(sqlite3_open((at / "db").c_str(), &db_) == SQLITE_OK, "sqlite open");
+  explicit Sqlite(const fs::path& folder) {
+    require(sqlite3_open((folder / "db").c_str(), &db_) == SQLITE_OK, "sqlite open");
     run("PRAGMA locking_mode=EXCLUSIVE");
     run("PRAGMA journal_mode=WAL");
     run("PRAGMA synchronous=FULL");
     run("CREATE TABLE kv(k TEXT PRIMARY KEY, v BLOB)");
-    must(sqlite3_prepare_v2(db_, "INSERT OR REPLACE INTO kv VALUES(?,?)", -1, &put_, nullptr) == SQLITE_OK,
-         "prepare");
+    require(sqlite3_prepare_v2(db_, "INSERT OR REPLACE INTO kv VALUES(?,?)", -1, &put_, nullptr) == SQLITE_OK,
+            "prepare");
   }
   ~Sqlite() override {
     sqlite3_finalize(put_);
@@ -96,24 +97,24 @@
     for (const auto& [key, value] : puts) {
       sqlite3_bind_text(put_, 1, key.data(), static_cast<int>(key.size()), SQLITE_STATIC);
       sqlite3_bind_blob(put_, 2, value.data(), static_cast<int>(value.size()), SQLITE_STATIC);
-      must(sqlite3_step(put_) == SQLITE_DONE && sqlite3_reset(put_) == SQLITE_OK, "sqlite put");
+      require(sqlite3_step(put_) == SQLITE_DONE && sqlite3_reset(put_) == SQLITE_OK, "sqlite put");
     }
     run("COMMIT");
   }
 
  private:
-  void run(const char* sql) { must(sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) == SQLITE_OK, sql); }
+  void run(const char* sql) { require(sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) == SQLITE_OK, sql); }
   sqlite3* db_ = nullptr;
   sqlite3_stmt* put_ = nullptr;
 };
 
 class Rocks : public Engine {
  public:
-  explicit Rocks(const fs::path& at) {
+  explicit Rocks(const fs::path& folder) {
     rocksdb::Options options;
     options.create_if_missing = true;
     rocksdb::DB* db = nullptr;
-    must(rocksdb::DB::Open(options, (at / "rocks").string(), &db).ok(), "rocksdb open");
+    require(rocksdb::DB::Open(options, (folder / "rocks").string(), &db).ok(), "rocksdb open");
     db_.reset(db);
   }
   void commit(const Batch& puts) override {
@@ -121,7 +122,7 @@
     for (const auto& [key, value] : puts) batch.Put(key, value);
     rocksdb::WriteOptions synced;
     synced.sync = true;
-    must(db_->Write(synced, &batch).ok(), "rocksdb write");
+    require(db_->Write(synced, &batch).ok(), "rocksdb write");
   }
 
  private:
@@ -137,18 +138,18 @@
 
 template <typename Kind>
 void measure(const char* name, const fs::path& root, std::size_t body, std::size_t clients) {
-  const fs::path at = root / name;
-  fs::remove_all(at);
-  fs::create_directories(at);
+  const fs::path folder = root / name;
+  fs::remove_all(folder);
+  fs::create_directories(folder);
   const double before = resident_mb();
-  Kind engine(at);
+  Kind engine(folder);
   const std::string large(body, 'x'), small(160, 'y');
   const std::size_t commits = clients == 1 ? 400 : (body > 10'000 ? 12 : 40);
   std::vector<double> takes;
   using Clock = std::chrono::steady_clock;
-  const auto begun = Clock::now();
+  const auto start = Clock::now();
   for (std::size_t round = 0; round < commits; ++round) {
-    // One job's three commits: its body and record, its lease, its result.
+    // The three commits of a job: its body and record, its lease, its result.
     for (int step = 0; step < 3; ++step) {
       Batch puts;
       for (std::size_t client = 0; client < clients; ++client) {
@@ -156,12 +157,13 @@
         if (step == 0) puts.emplace_back("b" + key, large);
         puts.emplace_back("j" + key, small);
       }
-      const auto from = Clock::now();
+      const auto commit_start = Clock::now();
       engine.commit(puts);
-      if (step == 0) takes.push_back(std::chrono::duration<double, std::micro>(Clock::now() - from).count());
+      if (step == 0)
+        takes.push_back(std::chrono::duration<double, std::micro>(Clock::now() - commit_start).count());
     }
   }
-  const double seconds = std::chrono::duration<double>(Clock::now() - begun).count();
+  const double seconds = std::chrono::duration<double>(Clock::now() - start).count();
   std::nth_element(takes.begin(), takes.begin() + static_cast<std::ptrdiff_t>(takes.size() / 2), takes.end());
   std::printf("%-8s %6zu B %3zu clients  take p50 %8.1f us  whole jobs/s %9.0f  +%.1f MB\n", name, body,
               clients, takes[takes.size() / 2], static_cast<double>(commits * clients) / seconds,
@@ -175,7 +177,7 @@
     const fs::path root = argc > 1 ? argv[1] : "store-compare";
     for (const std::size_t body : {1'000, 60'000})
       for (const std::size_t clients : {1, 64}) {
-        measure<Bare>("bare", root, body, clients);
+        measure<BareFile>("bare", root, body, clients);
         measure<Lmdb>("lmdb", root, body, clients);
         measure<Sqlite>("sqlite", root, body, clients);
         measure<Rocks>("rocksdb", root, body, clients);
--- a/bench/threads_probe.cpp
+++ b/bench/threads_probe.cpp
@@ -1,10 +1,13 @@
-// Three ways to give links threads, on a bare relay of one exchange: docs/design/threads.md has the figures.
+// Compares three threading models on a minimal relay of request-response exchanges; see
+// docs/design/threads.md.
 //
-//   threads_probe WAY LINKS IDLE     WAY: link (a thread a link), work (pool threads while at work, idle
-//   links
-//                                    in one poller), read (the poller reads and answers, pool threads send)
+//   threads_probe WAY LINKS IDLE
+//       WAY: link (one thread per link), work (pool threads during an exchange, idle links in one poller),
+//       read (the poller reads and writes answers, pool threads send queries);
+//       LINKS and IDLE are the numbers of busy and of idle client links
 //
-// The relay is a process of its own; a server that answers at once and closed-loop clients are this one's.
+// The relay is a separate process; this process has a server that answers at once and the
+// closed-loop clients.
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <sys/epoll.h>
@@ -39,10 +42,10 @@
 using namespace woadtide;
 using park::Fd;
 
-constexpr std::size_t kBytes = 300;  // of a query, and of an answer
-constexpr int kMs = 3'000;
+constexpr std::size_t kMessageBytes = 300;  // size of a query and of an answer
+constexpr int kMeasuredMs = 3'000;
 
-sockaddr_in at(int port) {
+sockaddr_in loopback_address(int port) {
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -51,7 +54,7 @@
 }
 Fd listen_here(int& port) {
   Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
-  sockaddr_in address = at(0);
+  sockaddr_in address = loopback_address(0);
   socklen_t length = sizeof address;
   if (::bind(fd.get(), reinterpret_cast<sockaddr*>(&address), length) != 0 || ::listen(fd.get(), 512) != 0)
     std::perror("listen");
@@ -61,29 +64,29 @@
 }
 Fd connect_to(int port) {
   Fd fd(::socket(AF_INET, SOCK_STREAM, 0));
-  const sockaddr_in address = at(port);
+  const sockaddr_in address = loopback_address(port);
   const int one = 1;
   ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
   if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
     std::perror("connect");
   return fd;
 }
-// False where the link has ended.
+// Returns false if the link has ended.
 bool read_whole(int fd) {
-  std::array<char, kBytes> bytes{};
-  return ::recv(fd, bytes.data(), bytes.size(), MSG_WAITALL) == static_cast<ssize_t>(kBytes);
+  std::array<char, kMessageBytes> bytes{};
+  return ::recv(fd, bytes.data(), bytes.size(), MSG_WAITALL) == static_cast<ssize_t>(kMessageBytes);
 }
 void write_whole(int fd) {
-  const std::array<char, kBytes> bytes{};
+  const std::array<char, kMessageBytes> bytes{};
   if (::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) std::perror("send");
 }
 
-// One thread that does what it is told, a thing at a time.
-struct Hand {
-  void tell(std::function<void()> what) {
+// Runs submitted tasks one at a time on the thread that calls run().
+struct TaskThread {
+  void submit(std::function<void()> task) {
     {
       const std::lock_guard lock(mutex);
-      job = std::move(what);
+      job = std::move(task);
     }
     wake.notify_one();
   }
@@ -100,7 +103,8 @@
   std::condition_variable wake;
   std::function<void()> job;
 };
-struct Done {
+// A one-shot event that is reset by wait().
+struct Completion {
   void set() {
     const std::lock_guard lock(mutex);
     is = true;
@@ -116,100 +120,102 @@
   bool is = false;
 };
 
-// A thread for each client link and one for each server link.
-void relay_by_link(int listener, int server) {
+// One thread per client link and one per server link.
+void relay_thread_per_link(int listener, int server) {
   for (;;) {
     const int client = ::accept(listener, nullptr, nullptr);
     std::thread([client, server] {
-      Done done;
+      Completion completion;
       const Fd link = connect_to(server);
-      const auto hand = std::make_shared<Hand>();
-      std::thread([hand] { hand->run(); }).detach();
+      const auto task_thread = std::make_shared<TaskThread>();
+      std::thread([task_thread] { task_thread->run(); }).detach();
       while (read_whole(client)) {
-        hand->tell([&] {
+        task_thread->submit([&] {
           write_whole(link.get());
           read_whole(link.get());
-          done.set();
+          completion.set();
         });
-        done.wait();
+        completion.wait();
         write_whole(client);
       }
     }).detach();
   }
 }
 
+// The links of a relay with a poller.
 struct Relay {
-  explicit Relay(int to) : server(to), epoll(::epoll_create1(0)) {}
-  void watch(int fd, std::uint32_t events, int how) {
+  explicit Relay(int server_port) : server(server_port), epoll(::epoll_create1(0)) {}
+  void update_poll(int fd, std::uint32_t events, int operation) {
     epoll_event event{};
     event.events = events;
     event.data.fd = fd;
-    if (::epoll_ctl(epoll.get(), how, fd, &event) != 0) std::perror("epoll_ctl");
+    if (::epoll_ctl(epoll.get(), operation, fd, &event) != 0) std::perror("epoll_ctl");
   }
-  // Each client has its own server link; the other way it is found by it.
+  // Accepts a client and opens its own server link; each of the two descriptors maps to the peer.
   int accept_one(int listener) {
     const int client = ::accept(listener, nullptr, nullptr);
     const int one = 1;
     ::setsockopt(client, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
     links.push_back(connect_to(server));
     const int link = links.back().get();
-    other[client] = link;
-    other[link] = client;
-    is_server.insert(link);
+    peer_of[client] = link;
+    peer_of[link] = client;
+    server_fds.insert(link);
     return client;
   }
   const int server;
   Fd epoll;
   std::vector<Fd> links;
-  std::map<int, int> other;
-  std::set<int> is_server;
-  park::Crew crew{{.most = 1'000, .kept = 4}};
+  std::map<int, int> peer_of;
+  std::set<int> server_fds;
+  park::Crew thread_pool{{.most = 1'000, .kept = 4}};
 };
 
-// A pool thread has a query from its first byte to its answer, and another one its execution.
-void relay_at_work(int listener, int server) {
+// One pool thread handles a query from its first byte to its answer, and another one its execution.
+void relay_pool_thread_per_query(int listener, int server) {
   Relay relay(server);
-  relay.watch(listener, EPOLLIN, EPOLL_CTL_ADD);
+  relay.update_poll(listener, EPOLLIN, EPOLL_CTL_ADD);
   for (epoll_event event{}; ::epoll_wait(relay.epoll.get(), &event, 1, -1) >= 0;) {
     const int fd = event.data.fd;
     if (fd == listener) {
-      relay.watch(relay.accept_one(listener), EPOLLIN | EPOLLONESHOT, EPOLL_CTL_ADD);
+      relay.update_poll(relay.accept_one(listener), EPOLLIN | EPOLLONESHOT, EPOLL_CTL_ADD);
       continue;
     }
-    relay.crew.take([&relay, fd, link = relay.other[fd]] {
+    relay.thread_pool.take([&relay, fd, link = relay.peer_of[fd]] {
       if (!read_whole(fd)) return;
-      Done done;
-      relay.crew.take([&] {
+      Completion completion;
+      relay.thread_pool.take([&] {
         write_whole(link);
         read_whole(link);
-        done.set();
+        completion.set();
       });
-      done.wait();
+      completion.wait();
       write_whole(fd);
-      relay.watch(fd, EPOLLIN | EPOLLONESHOT, EPOLL_CTL_MOD);
+      relay.update_poll(fd, EPOLLIN | EPOLLONESHOT, EPOLL_CTL_MOD);
     });
   }
 }
 
-// The poller reads queries and answers, and writes answers; a pool thread only sends.
-void relay_by_reader(int listener, int server) {
+// The poller reads queries and answers and writes answers; pool threads only send queries.
+void relay_poller_reads(int listener, int server) {
   Relay relay(server);
-  relay.watch(listener, EPOLLIN, EPOLL_CTL_ADD);
+  relay.update_poll(listener, EPOLLIN, EPOLL_CTL_ADD);
   for (epoll_event event{}; ::epoll_wait(relay.epoll.get(), &event, 1, -1) >= 0;) {
     const int fd = event.data.fd;
     if (fd == listener) {
       const int client = relay.accept_one(listener);
-      for (const int both : {client, relay.other[client]}) relay.watch(both, EPOLLIN, EPOLL_CTL_ADD);
+      for (const int fd_of_pair : {client, relay.peer_of[client]})
+        relay.update_poll(fd_of_pair, EPOLLIN, EPOLL_CTL_ADD);
       continue;
     }
-    const int to = relay.other[fd];
-    const bool answer = relay.is_server.contains(fd);
+    const int to = relay.peer_of[fd];
+    const bool answer = relay.server_fds.contains(fd);
     if (!read_whole(fd))
       ::epoll_ctl(relay.epoll.get(), EPOLL_CTL_DEL, fd, nullptr);
     else if (answer)
       write_whole(to);
     else
-      relay.crew.take([to] { write_whole(to); });
+      relay.thread_pool.take([to] { write_whole(to); });
   }
 }
 
@@ -217,8 +223,8 @@
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  const std::string way = argc == 4 ? argv[1] : "";
-  if (way != "link" && way != "work" && way != "read") {
+  const std::string model = argc == 4 ? argv[1] : "";
+  if (model != "link" && model != "work" && model != "read") {
     std::fprintf(stderr, "threads_probe link|work|read LINKS IDLE\n");
     return 2;
   }
@@ -226,9 +232,9 @@
   const Fd server = listen_here(server_port), listener = listen_here(relay_port);
   const pid_t relay = ::fork();
   if (relay == 0) {
-    if (way == "link") relay_by_link(listener.get(), server_port);
-    if (way == "work") relay_at_work(listener.get(), server_port);
-    relay_by_reader(listener.get(), server_port);
+    if (model == "link") relay_thread_per_link(listener.get(), server_port);
+    if (model == "work") relay_pool_thread_per_query(listener.get(), server_port);
+    relay_poller_reads(listener.get(), server_port);
     return 0;
   }
   std::thread([&] {
@@ -241,39 +247,39 @@
   }).detach();
   std::vector<Fd> idle;
   for (int i = 0; i < std::atoi(argv[3]); ++i) idle.push_back(connect_to(relay_port));
-  std::atomic<bool> counts{false}, over{false};
+  std::atomic<bool> is_measuring{false}, stop{false};
   std::mutex mutex;
   std::vector<double> all;
   std::vector<std::thread> clients;
   for (int i = 0; i < std::atoi(argv[2]); ++i)
     clients.emplace_back([&] {
       const Fd link = connect_to(relay_port);
-      std::vector<double> mine;
-      while (!over) {
+      std::vector<double> client_times;
+      while (!stop) {
         const auto from = std::chrono::steady_clock::now();
         write_whole(link.get());
         read_whole(link.get());
         const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - from;
-        if (counts) mine.push_back(took.count());
+        if (is_measuring) client_times.push_back(took.count());
       }
       const std::lock_guard lock(mutex);
-      all.insert(all.end(), mine.begin(), mine.end());
+      all.insert(all.end(), client_times.begin(), client_times.end());
     });
   ::usleep(500'000);
-  counts = true;
+  is_measuring = true;
   const double before = bench::cpu_us(relay);
-  ::usleep(kMs * 1'000);
+  ::usleep(kMeasuredMs * 1'000);
   const double spent = bench::cpu_us(relay) - before;
   const std::string threads = bench::status_line(relay, "Threads"),
                     resident = bench::status_line(relay, "VmRSS");
-  over = true;
+  stop = true;
   for (auto& client : clients) client.join();
   std::sort(all.begin(), all.end());
   const std::size_t count = std::max<std::size_t>(all.size(), 1);
   all.resize(count);
   std::printf(
       "%s, %s links at work, %s idle: %.1f us of CPU an exchange, p50 %.0f us, p99 %.0f us, %s threads, %s\n",
-      way.c_str(), argv[2], argv[3], spent / static_cast<double>(count), all[count / 2],
+      model.c_str(), argv[2], argv[3], spent / static_cast<double>(count), all[count / 2],
       all[count * 99 / 100], threads.c_str(), resident.c_str());
   ::kill(relay, SIGKILL);
   ::waitpid(relay, nullptr, 0);
--- a/bench/verdict_compare.cpp
+++ b/bench/verdict_compare.cpp
@@ -1,6 +1,7 @@
-// Three ways to tell whether the changed cohort does worse, on the same recorded pairs: fixed thresholds, a
-// test on fixed windows, and the sequential test that is used. Prints false stops of 400 equal pairs over ten
-// minutes, and for each defect how many of 400 are found within ten minutes, and the median second.
+// Compares three methods of detecting that the changed cohort does worse, on the same generated pairs of
+// cohorts: fixed thresholds, a z-test on fixed windows, and the sequential test that is in use. Prints
+// the false stops of 400 equal pairs within ten minutes, and for each defect how many of 400 are detected
+// within ten minutes, with the median second of detection.
 #include <array>
 #include <cmath>
 #include <cstdio>
@@ -15,9 +16,9 @@
 
 using namespace woadtide::verdict;
 
-constexpr int kSeconds = 600, kRuns = 400, kWindow = 60;
+constexpr int kMaxSeconds = 600, kRunCount = 400, kWindowSeconds = 60;
 
-// Sums of a measure over the last window, of both sides.
+// Sums of each measure over the current window, for both cohorts (0: new version, 1: old version).
 struct Window {
   struct Sum {
     double asked[2] = {}, events[2] = {};
@@ -40,38 +41,40 @@
   }
 };
 
-using Way = std::function<std::optional<int>(const std::vector<Slice>&)>;
+using Method = std::function<std::optional<int>(const std::vector<Slice>&)>;
 
-// `bad` of each whole window: the second at which it said so.
-std::optional<int> by_windows(const std::vector<Slice>& slices,
-                              const std::function<bool(const Window::Sum&)>& bad) {
+// Applies `is_worse` to the sums of each complete window; returns the second at which it is first true.
+std::optional<int> test_windows(const std::vector<Slice>& slices,
+                                const std::function<bool(const Window::Sum&)>& is_worse) {
   Window window;
-  for (std::size_t at = 0; at < slices.size(); ++at) {
-    window.add(slices[at]);
-    if (window.seconds < kWindow) continue;
+  for (std::size_t second = 0; second < slices.size(); ++second) {
+    window.add(slices[second]);
+    if (window.seconds < kWindowSeconds) continue;
     for (const auto& [name, sum] : window.sums)
-      if (sum.asked[0] > 0 && sum.asked[1] > 0 && bad(sum)) return static_cast<int>(at);
+      if (sum.asked[0] > 0 && sum.asked[1] > 0 && is_worse(sum)) return static_cast<int>(second);
     window = {};
   }
   return std::nullopt;
 }
 
-bool over_threshold(const Window::Sum& sum) {
+// More than one percentage point and more than a quarter above the old version's share of events.
+bool exceeds_threshold(const Window::Sum& sum) {
   const double fresh = sum.events[0] / sum.asked[0], old = sum.events[1] / sum.asked[1];
   return fresh > old + 0.01 && fresh > 1.25 * old;
 }
 
-bool by_z(const Window::Sum& sum) {
-  const double n = sum.asked[0], m = sum.asked[1], all = (sum.events[0] + sum.events[1]) / (n + m);
-  const double spread = std::sqrt(all * (1 - all) * (1 / n + 1 / m));
-  return spread > 0 && (sum.events[0] / n - sum.events[1] / m) / spread > 2.33;
+// One-sided two-proportion z-test at 1%.
+bool exceeds_z_score(const Window::Sum& sum) {
+  const double n = sum.asked[0], m = sum.asked[1], pooled = (sum.events[0] + sum.events[1]) / (n + m);
+  const double standard_error = std::sqrt(pooled * (1 - pooled) * (1 / n + 1 / m));
+  return standard_error > 0 && (sum.events[0] / n - sum.events[1] / m) / standard_error > 2.33;
 }
 
-std::optional<int> sequential(const std::vector<Slice>& slices) {
+std::optional<int> test_sequentially(const std::vector<Slice>& slices) {
   Verdict verdict;
-  for (std::size_t at = 0; at < slices.size(); ++at) {
-    verdict.add(slices[at]);
-    if (verdict.outcome() == Outcome::worse) return static_cast<int>(at);
+  for (std::size_t second = 0; second < slices.size(); ++second) {
+    verdict.add(slices[second]);
+    if (verdict.outcome() == Outcome::worse) return static_cast<int>(second);
   }
   return std::nullopt;
 }
@@ -92,22 +95,22 @@
   worlds[5].first = "25% more over p95, p99; 6 of 12";
   worlds[5].second.slow = 0.25;
   worlds[5].second.fresh = 6;
-  const std::vector<std::pair<const char*, Way>> ways = {
-      {"fixed thresholds", [](const auto& s) { return by_windows(s, over_threshold); }},
-      {"windows, z at 1%", [](const auto& s) { return by_windows(s, by_z); }},
-      {"sequential", sequential}};
+  const std::vector<std::pair<const char*, Method>> methods = {
+      {"fixed thresholds", [](const auto& s) { return test_windows(s, exceeds_threshold); }},
+      {"windows, z at 1%", [](const auto& s) { return test_windows(s, exceeds_z_score); }},
+      {"sequential", test_sequentially}};
   std::printf("%-34s", "of 400 pairs called worse (median s)");
-  for (const auto& [name, way] : ways) std::printf(" %20s", name);
+  for (const auto& [name, method] : methods) std::printf(" %20s", name);
   std::printf("\n");
   for (const auto& [name, world] : worlds) {
     std::printf("%-34s", name.c_str());
-    std::vector<std::vector<int>> found(ways.size());
-    for (int run = 0; run < kRuns; ++run) {
+    std::vector<std::vector<int>> found(methods.size());
+    for (int run = 0; run < kRunCount; ++run) {
       pcg32 random(static_cast<std::uint64_t>(run) + 50'000);
       std::vector<Slice> slices;
-      for (int at = 0; at < kSeconds; ++at) slices.push_back(world.second(random, at));
-      for (std::size_t i = 0; i < ways.size(); ++i)
-        if (const auto at = ways[i].second(slices)) found[i].push_back(*at);
+      for (int at = 0; at < kMaxSeconds; ++at) slices.push_back(world.second(random, at));
+      for (std::size_t i = 0; i < methods.size(); ++i)
+        if (const auto at = methods[i].second(slices)) found[i].push_back(*at);
     }
     for (auto& times : found) {
       std::sort(times.begin(), times.end());
