--- a/models/check.sh
+++ b/models/check.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Checks the models exhaustively at small bounds, and that each breaks without its guards.
+# Checks the models exhaustively at small bounds, and that a violation is found without each of their guards.
 set -euo pipefail
 models=$(cd "$(dirname "$0")" && pwd)
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 cd "$work"
-run() {  # MODEL [-DLEFT_OUT]: prints Spin's verdict
+run() {  # MODEL [-DGUARD]: prints the verifier's output; -DGUARD removes a guard
   local model=$1
   shift
   spin -a "$@" "$models/$model.pml"
@@ -17,11 +17,14 @@
   shift
   run "$model" > whole.txt
   grep -E "states, stored|errors:" whole.txt
-  grep -q "errors: 0" whole.txt || { echo "$model can be broken"; exit 1; }
-  if grep -q "max search depth too small" whole.txt; then echo "not exhaustive: the search was cut"; exit 1; fi
+  grep -q "errors: 0" whole.txt || { echo "$model: a property is violated"; exit 1; }
+  if grep -q "max search depth too small" whole.txt; then
+    echo "$model: not exhaustive, the search depth was too small"
+    exit 1
+  fi
   for guard in "$@"; do
     run "$model" "-D$guard" > without.txt
-    grep -q "errors: 1" without.txt || { echo "$model should break with $guard, and did not"; exit 1; }
+    grep -q "errors: 1" without.txt || { echo "$model: no violation was found with $guard"; exit 1; }
     echo "$model: holds; with $guard it breaks"
   done
 }
--- a/models/lease.pml
+++ b/models/lease.pml
@@ -1,35 +1,35 @@
-/* The lease protocol of an at-most-once job: a dispatcher that may crash at any point and start again from its disk,
-   two workers that answer (docs/worker-leases.md) and may be killed and started again with their ledger, and a network
-   that loses messages and delivers them late. Checked exhaustively by models/check.sh:
+/* The lease protocol of an at-most-once job: a dispatcher that may crash at any point and restart from its
+   disk, two workers that answer inquiries (docs/worker-leases.md) and may be killed and restarted with their
+   ledger, and a network that loses and delays messages. Checked exhaustively by models/check.sh:
 
-     the job never begins twice, whatever is lost, late or killed;
+     the job never starts twice, whatever is lost, delayed or killed.
 
-   and with -DNO_EPOCH (the question raises no epoch, so a worker does not refuse what is late) Spin finds the run in
-   which it does. */
+   With -DNO_EPOCH an inquiry does not raise the epoch, so a worker does not reject a delayed start; Spin then
+   finds a run in which the job starts twice. */
 
 #define W 2          /* workers */
-#define CRASHES 2    /* of the dispatcher */
-#define KILLS 1      /* of a worker */
-#define LEASES 3     /* most epochs that are given out */
+#define CRASHES 2    /* of the dispatcher, at most */
+#define KILLS 1      /* of workers, at most */
+#define LEASES 3     /* maximum epoch at which another lease is issued */
 
 mtype = { START, ASK, NEVER, BEGUN };
 
-/* On the way: START and ASK to a worker, NEVER and BEGUN from it, each on a link of its own: one overtakes another, and the
-   receiver may take its time. Lost: the sender cannot know. */
+/* Messages in transit: START and ASK to a worker, NEVER and BEGUN from it. Each uses a connection of its own,
+   so messages may overtake each other and be received late. The sender cannot detect a lost message. */
 chan to[W] = [3] of { mtype, byte };
 chan from[W] = [3] of { mtype, byte };
 
-/* The dispatcher's disk. */
-bool d_out;          /* a lease is out, or its worker is asked */
+/* The dispatcher's state on disk. */
+bool d_leased;       /* a lease is held, or its worker is being asked */
 byte d_epoch;
 byte d_worker;
-bool d_over;         /* a final state: in doubt or finished */
+bool d_final;        /* final state: in doubt or finished */
 
-/* The workers' ledgers, on their disks. */
-bool w_begun[W];
+/* The workers' ledgers, on disk. */
+bool w_started[W];
 byte w_fence[W];
 
-byte begun;          /* how often it has begun, anywhere */
+byte starts;         /* number of starts on any worker */
 byte crashes, kills;
 
 proctype Worker(byte me) {
@@ -37,12 +37,12 @@
 end:
   do
   :: to[me] ?? START(epoch) ->
-     /* Begins nothing below its fence, and no payout twice by its own ledger. */
+     /* Starts nothing with an epoch below its fence, and no job twice according to its own ledger. */
      atomic {
        if
-       :: epoch >= w_fence[me] && !w_begun[me] ->
-          w_begun[me] = true; w_fence[me] = epoch; begun++;
-          assert(begun <= 1)
+       :: epoch >= w_fence[me] && !w_started[me] ->
+          w_started[me] = true; w_fence[me] = epoch; starts++;
+          assert(starts <= 1)
        :: else -> skip
        fi
      }
@@ -55,7 +55,7 @@
        fi;
 #endif
        if
-       :: w_begun[me] ->
+       :: w_started[me] ->
           if
           :: nfull(from[me]) -> from[me] ! BEGUN(epoch)
           :: skip               /* the answer is lost */
@@ -68,7 +68,7 @@
        fi
      }
   :: atomic { kills < KILLS -> kills++;
-       /* Killed: what is on its links is gone, its ledger is not. */
+       /* Killed: the messages on its connections are lost, its ledger is kept. */
        do
        :: to[me] ? _, _
        :: empty(to[me]) -> break
@@ -78,63 +78,63 @@
 
 proctype Dispatcher() {
   byte epoch, who;
-start:
-  /* From the disk. What an earlier life sent may still come. */
+restart:
+  /* Restart from disk. Messages sent before a crash may still arrive. */
   if
-  :: d_over -> goto stop
+  :: d_final -> goto stop
   :: else -> skip
   fi;
   if
-  :: d_out -> goto doubt
-  :: else -> goto take
+  :: d_leased -> goto inquire
+  :: else -> goto lease
   fi;
 
-take:
+lease:
   if
   :: d_epoch >= LEASES -> goto stop
   :: else -> skip
   fi;
   if
-  :: crashes < CRASHES -> crashes++; goto start
+  :: crashes < CRASHES -> crashes++; goto restart
   :: who = 0
   :: who = 1
   fi;
-  /* The lease is on the disk before the execution goes out. */
-  atomic { d_epoch++; d_out = true; d_worker = who };
+  /* The lease is written to disk before the execution is sent. */
+  atomic { d_epoch++; d_leased = true; d_worker = who };
   if
-  :: crashes < CRASHES -> crashes++; goto start
+  :: crashes < CRASHES -> crashes++; goto restart
   :: nfull(to[who]) -> to[who] ! START(d_epoch)
-  :: skip                       /* lost on the way, which nobody here can know */
+  :: skip                       /* lost in transit, which the dispatcher cannot detect */
   fi;
   if
-  :: crashes < CRASHES -> crashes++; goto start
-  :: goto doubt                 /* no heartbeat came, or the link broke */
-  :: d_over = true; goto stop   /* the result came */
+  :: crashes < CRASHES -> crashes++; goto restart
+  :: goto inquire               /* no heartbeat was received, or the connection broke */
+  :: d_final = true; goto stop   /* the result was received */
   fi;
 
-doubt:
-  /* The question's epoch is on the disk before it goes out. */
+inquire:
+  /* The epoch of the inquiry is written to disk before the inquiry is sent. */
 #ifndef NO_EPOCH
   d_epoch++;
 #endif
   if
-  :: crashes < CRASHES -> crashes++; goto start
+  :: crashes < CRASHES -> crashes++; goto restart
   :: nfull(to[d_worker]) -> to[d_worker] ! ASK(d_epoch)
   :: skip
   fi;
   do
   :: from[d_worker] ?? NEVER(epoch) ->
      if
-     :: epoch == d_epoch -> d_out = false; goto take
-     :: else -> skip            /* of an older question */
+     :: epoch == d_epoch -> d_leased = false; goto lease
+     :: else -> skip            /* answer to an older inquiry */
      fi
   :: from[d_worker] ?? BEGUN(epoch) ->
      if
-     :: epoch == d_epoch -> d_over = true; goto stop
+     :: epoch == d_epoch -> d_final = true; goto stop
      :: else -> skip
      fi
-  :: crashes < CRASHES -> crashes++; goto start
-  :: d_over = true; goto stop   /* nobody answered in time: in doubt */
+  :: crashes < CRASHES -> crashes++; goto restart
+  :: d_final = true; goto stop   /* no answer in time: in doubt */
   od;
 
 stop:
--- a/tests/readme_config.cmake
+++ b/tests/readme_config.cmake
@@ -1,4 +1,4 @@
-# Passes when the config that README.md shows is a good one.
+# Passes if the config shown in README.md is valid.
 file(READ ${ROOT}/README.md readme)
 string(REGEX MATCH "```json\n([^`]*)```" shown "${readme}")
 file(WRITE readme_config.json "${CMAKE_MATCH_1}")
--- a/tests/readme_example.cmake
+++ b/tests/readme_example.cmake
@@ -1,4 +1,5 @@
-# Passes when README.md shows examples/embedding.cpp as it stands, so that the page's example builds and runs.
+# Passes if README.md contains examples/embedding.cpp unchanged, so that the example shown there builds and
+# runs.
 file(READ ${ROOT}/README.md readme)
 file(READ ${ROOT}/examples/embedding.cpp example)
 string(FIND "${readme}" "```cpp\n${example}```\n" place)
--- a/tests/reload.sh
+++ b/tests/reload.sh
@@ -1,19 +1,20 @@
 #!/bin/sh
-# SIGHUP, as the platform sends it: new files, a bad one, several in a row, then SIGTERM twice in their midst.
-# Usage: reload.sh WOADTIDE. Waits for log lines only, 10 s at the longest for each.
+# Configuration reload on SIGHUP: valid files, invalid files, several signals in a row, and two SIGTERM
+# between further SIGHUPs, as the platform sends them. Usage: reload.sh WOADTIDE. Waits for log lines only,
+# at most 10 s each.
 set -eu
 dir=$(mktemp -d)
 pid=
 trap 'test -z "$pid" || kill -KILL "$pid" 2>/dev/null || true; rm -rf "$dir"' EXIT
 
-config() {  # discovery's address
+config() {  # ADDRESS: writes a config with this discovery address
   cat >"$dir/new" <<END
 {"name": "n0", "listen": "127.0.0.1:0", "discovery": "$1", "seed": "1",
  "settings": {"Categories": [{"Name": "a", "Effect": "idempotent", "DeadlineUs": 100000}]}}
 END
   mv "$dir/new" "$dir/config.json"
 }
-await() {  # a text in the log
+await() {  # TEXT: waits until the log contains it
   tries=0
   until grep -qF "$1" "$dir/log"; do
     tries=$((tries + 1))
--- a/tests/settings.sh
+++ b/tests/settings.sh
@@ -1,4 +1,5 @@
-# The operator's file under deploy/ names every default as it is: against an empty one nothing differs.
+# Checks that the operator file under deploy/ states every default correctly: compared with an empty file,
+# nothing differs. Usage: settings.sh WOADTIDE FILE
 set -eu
 woadtide=$1 file=$2
 empty=$(mktemp)
