--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -488,9 +488,9 @@
     if (command == "pause") rollout->pause(argument);
     if (command == "resume") resume();
     if (command == "abort") rollout->abort(clock.now());
-    if (command != "pause" && command != "resume" && command != "abort") return "error unknown command";
+    if (command != "pause" && command != "resume" && command != "abort") return "error no such word";
     append_history({{"what", "word"}, {"word", line}});
-    return save() ? "done" : "error the state could not be stored";
+    return save() ? "done" : "error it could not be written down";
   }
   void resume() {
     superseded = false;
--- a/src/core/decision_loop.cpp
+++ b/src/core/decision_loop.cpp
@@ -106,13 +106,13 @@
   if (!class_known) return "unknown class";
   // The module would not answer a second query with the same id, and a worker could run it twice. A repeat
   // that arrives after the answer cannot be told from the first query, and a payout must not run again.
-  if (open_queries_.contains(query.id)) return "a query with this id is in progress";
-  if (replay_cache_.contains(query.id)) return "a query with this id has already been handled";
+  if (open_queries_.contains(query.id)) return "this id is in work already";
+  if (replay_cache_.contains(query.id)) return "this id was in work before";
   // Checked here whatever the protocol accepts: a deadline of NaN would break the order of the timers.
   const double cost = query.cost_ms.value_or(0);
   if (!std::isfinite(query.deadline) || !(cost >= 0 && std::isfinite(cost)) ||
       !(query.slots > 0 && std::isfinite(query.slots)))
-    return "deadline, cost or slots are out of range";
+    return "a figure of it cannot be right";
   return nullptr;
 }
 
@@ -162,7 +162,7 @@
   // A bad query says nothing about the worker, which the module would otherwise avoid for it, and no other
   // worker would accept the query either.
   if (message.bad_query) {
-    settle(*found, {AnswerKind::bad_query, "the worker rejected the query"});
+    settle(*found, {AnswerKind::bad_query, "the worker cannot use it"});
     return finish_execution(message.key, Status::cancelled, message.report);
   }
   finish_execution(message.key, message.status, message.report);
--- a/src/front/jobs/front.cpp
+++ b/src/front/jobs/front.cpp
@@ -105,7 +105,7 @@
     const std::lock_guard lock(mutex_);
     calls_in_progress_ -= 1;
   }
-  send_reply(*link, {503, {}, "no thread is available right now\n", kNoThreadRetryMs}, call->closes_link);
+  send_reply(*link, {503, {}, "there is no thread for it now\n", kNoThreadRetryMs}, call->closes_link);
   return nullptr;
 }
 
@@ -136,18 +136,18 @@
   if (!std::string_view(call.path).starts_with(kJobsPrefix)) return error_reply(404, "no such resource");
   const std::string name = call.path.substr(kJobsPrefix.size());
   const std::string key = name.substr(0, name.find('/'));
-  if (!is_key(key)) return error_reply(400, "a key must be 1 to 64 letters, digits and -._~");
+  if (!is_key(key)) return error_reply(400, "a key is 1 to 64 letters, digits and -._~");
   if (key.size() < name.size())
     return serves_operators_ ? handle_operator_call(call, key, name.substr(key.size()))
                              : error_reply(404, "no such resource");
   if (call.method == "GET") {
     const std::string wait = find_parameter(call.parameters, "wait");
     const auto wait_ms = net::whole_number(wait.empty() ? "0" : wait);
-    if (!wait_ms) return error_reply(400, "wait must be a number of milliseconds");
+    if (!wait_ms) return error_reply(400, "wait is a number of milliseconds");
     return job_service_.get(key, std::min(static_cast<double>(*wait_ms), kMaxWaitMs));
   }
   if (call.method == "DELETE") return job_service_.withdraw_job(key);
-  if (call.method != "PUT") return error_reply(405, "the method must be PUT, GET or DELETE");
+  if (call.method != "PUT") return error_reply(405, "PUT, GET or DELETE");
   call.job_request.key = key;
   call.job_request.target = call.path + (call.parameters.empty() ? "" : '?' + call.parameters);
   call.job_request.body = std::move(call.body);
@@ -160,7 +160,7 @@
   if (subresource != "/settle" || call.method != "POST") return error_reply(404, "no such resource");
   const std::string as = find_parameter(call.parameters, "as"), who = find_parameter(call.parameters, "who");
   if ((as != "finished" && as != "failed") || who.empty() || call.body.empty())
-    return error_reply(400, "settle needs as=finished or as=failed, who=NAME, and the reason as its body");
+    return error_reply(400, "settle wants as=finished or as=failed, who=NAME, and why as its body");
   return job_service_.settle(key, as == "finished", who, call.body);
 }
 
--- a/src/jobs/keeper.cpp
+++ b/src/jobs/keeper.cpp
@@ -224,7 +224,7 @@
   do {
     for (Message& message : take_messages(std::clamp(until - clock_.now(), 0.0, 20.0))) {
       if (auto* call = std::get_if<Call>(&message))
-        call->reply.set_value({503, {}, "jobs are not available right now\n", kReopenRetryMs});
+        call->reply.set_value({503, {}, "jobs are not served now\n", kReopenRetryMs});
       else if (auto* start = std::get_if<StartRequested>(&message))
         inbox_.put(core::ExecutionEnded{start->execution.key, Status::moot, {}, false, false});
       else
@@ -319,10 +319,10 @@
   serving_ = false;
   store_.reset();
   for (auto& [reply, unsent] : replies_)
-    reply.set_value({503, {}, "the store failed, try again\n", kReopenRetryMs});
+    reply.set_value({503, {}, "the store failed, ask again\n", kReopenRetryMs});
   replies_.clear();
   for (Waiter& waiter : waiters_)
-    waiter.reply.set_value({503, {}, "the store failed, try again\n", kReopenRetryMs});
+    waiter.reply.set_value({503, {}, "the store failed, ask again\n", kReopenRetryMs});
   waiters_.clear();
   // Reports from workers that were handled but not committed have to be handled again.
   std::deque<Message> requeued;
@@ -345,7 +345,7 @@
   requeue_messages(std::move(requeued));
   for (auto& [key, open_job] : open_jobs_) {
     for (auto& submitter : open_job.submitters)
-      submitter.set_value({503, {}, "the store failed, try again\n", kReopenRetryMs});
+      submitter.set_value({503, {}, "the store failed, ask again\n", kReopenRetryMs});
     open_job.submitters.clear();
     cancel_pending_start(open_job);
     if (!open_job.active_execution) retract_from_loop(open_job);
@@ -437,8 +437,7 @@
         apply_event(lease::Withdraw{call.key});
         return answer({200, "refused", "withdrawn\n", 0});
       }
-      if (job || store_->find(call.key))
-        return answer({409, {}, "the job has already started or ended\n", 0});
+      if (job || store_->find(call.key)) return answer({409, {}, "it has begun or is over\n", 0});
       return answer({404, {}, "no such job\n", 0});
     }
     case Call::Kind::list: {
@@ -499,8 +498,7 @@
   if (!repeat_policy) return answer({400, {}, "unknown class\n", 0});
   if (const Job* job = lease_table_.find(call.key)) {
     OpenJob& open_job = open_jobs_.at(call.key);
-    if (open_job.attributes.digest != digest)
-      return answer({409, {}, "this key belongs to another job\n", 0});
+    if (open_job.attributes.digest != digest) return answer({409, {}, "this key has another job\n", 0});
     if (lease::is_final(job->state)) return answer(make_reply(*job, open_job.attributes, open_job.result));
     if (open_job.acknowledged) return answer({202, lease::name_of(job->state), {}, 0});
     open_job.submitters.push_back(std::move(call.reply));
@@ -509,7 +507,7 @@
   std::uint64_t epoch = 0;
   if (const auto stored = store_->find(call.key)) {
     const auto [job, attributes] = parse_meta(*stored);
-    if (attributes.digest != digest) return answer({409, {}, "this key belongs to another job\n", 0});
+    if (attributes.digest != digest) return answer({409, {}, "this key has another job\n", 0});
     if (job.state != State::refused) return answer(make_stored_reply(*stored));
     epoch = job.epoch;
   }
--- a/src/net/client_link.cpp
+++ b/src/net/client_link.cpp
@@ -11,7 +11,7 @@
 namespace woadtide::net {
 
 namespace {
-const BadMessage kReadTimeout(408, "request not complete in time");
+const BadMessage kReadTimeout(408, "the rest did not come");
 }
 
 ClientLink::ClientLink(Socket socket, ClientSide& context, ClientLinks& links)
@@ -90,7 +90,7 @@
     const std::span<char> free_space = reader_.room();
     if (free_space.empty() || reads == kMaxReadsPerTurn) {
       if (now >= read_deadline_)
-        throw free_space.empty() ? BadMessage(503, "no receive buffer available") : kReadTimeout;
+        throw free_space.empty() ? BadMessage(503, "no memory for it now") : kReadTimeout;
       schedule_read(std::min(now + kGoOnMs, read_deadline_), received);
       return false;
     }
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -40,7 +40,7 @@
 }
 
 void read_version(Head& head, std::string_view version) {
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") throw BadMessage(400, "unsupported HTTP version");
+  if (version != "HTTP/1.1" && version != "HTTP/1.0") throw BadMessage(400, "not HTTP/1.1");
   head.http10 = version == "HTTP/1.0";
 }
 
@@ -69,8 +69,7 @@
   bool chunked = false;
   for (const Field& field : head.fields) {
     if (same_name(field.name, "Transfer-Encoding")) {
-      if (chunked || !same_name(field.value, "chunked"))
-        throw BadMessage(400, "unsupported Transfer-Encoding");
+      if (chunked || !same_name(field.value, "chunked")) throw BadMessage(400, "unknown transfer encoding");
       chunked = true;
     } else if (same_name(field.name, "Content-Length")) {
       const auto value = whole_number(field.value);
--- a/src/net/management.cpp
+++ b/src/net/management.cpp
@@ -65,7 +65,7 @@
   connections_.emplace_back().socket = std::move(socket);
   const auto connection = std::prev(connections_.end());
   if (!thread_pool_.take([this, connection] { serve(connection); }, true)) {
-    connection->socket.send_some({"error no thread is available\n"});
+    connection->socket.send_some({"error there is no thread for it now\n"});
     connections_.erase(connection);
   }
   return true;
@@ -96,7 +96,7 @@
   try {
     std::string line;
     const bool complete = read_line(connection, line);
-    const std::string answer = complete ? execute_line(line) : "error incomplete or oversized line\n";
+    const std::string answer = complete ? execute_line(line) : "error no whole line came\n";
     const bool sent = connection.socket.send({answer}, clock_.now() + kSendTimeoutMs, clock_) == Io::done;
     set_busy(connection, false);
     if (sent) {
@@ -142,7 +142,7 @@
 
 std::string Management::execute_line(std::string_view line) const {
   const std::string_view command = take_word(line), argument = take_word(line);
-  if (!take_word(line).empty()) return "error a command takes at most one argument\n";
+  if (!take_word(line).empty()) return "error a call has one argument at most\n";
   return handler_(command, argument);
 }
 
--- a/src/net/query_head.cpp
+++ b/src/net/query_head.cpp
@@ -117,7 +117,7 @@
   }
   if (const auto slots_text = pair_value(head.find("X-Call-Info").value_or(""), "slots")) {
     const auto slots = parse_number(*slots_text, kMaxSlots);
-    if (!slots || *slots <= 0) throw BadMessage(400, "X-Call-Info: slots is malformed");
+    if (!slots || *slots <= 0) throw BadMessage(400, "X-Call-Info's slots are malformed");
     query.slots = *slots;
   }
 }
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -16,22 +16,21 @@
 std::string plan_error(const Plan& plan) {
   std::set<std::string> names;
   for (const Member& member : plan.members) {
-    if (member.name.empty()) return "a member has an empty name";
-    if (!names.insert(member.name).second) return "member " + member.name + " is listed twice";
+    if (member.name.empty()) return "a member has no name";
+    if (!names.insert(member.name).second) return "member " + member.name + " comes twice";
   }
-  if (plan.change.empty()) return "the change has an empty name";
-  if (plan.members.empty()) return "the rollout has no members";
+  if (plan.change.empty()) return "the change has no name";
+  if (plan.members.empty()) return "there are no members";
   int before = 0;
   for (const int stage : plan.stages) {
-    if (stage <= before) return "stages must be increasing and start at 1 or more";
+    if (stage <= before) return "stages must grow, from 1 on";
     before = stage;
   }
   if (before != static_cast<int>(plan.members.size()))
-    return "the last stage must cover all " + std::to_string(plan.members.size()) + " members";
+    return "the last stage must be all " + std::to_string(plan.members.size()) + " members";
   if (plan.bake_ms < 0 || plan.stage_timeout_ms < plan.bake_ms)
-    return "patience_ms must not be less than bake_ms";
-  if (plan.order_timeout_ms <= 0 || plan.max_attempts < 1)
-    return "step_ms must be positive and tries at least 1";
+    return "patience must not be under the bake time";
+  if (plan.order_timeout_ms <= 0 || plan.max_attempts < 1) return "a step needs time and a try";
   return {};
 }
 
@@ -95,7 +94,7 @@
 std::string Rollout::incomplete_stage_reason() const {
   for (const auto& [name, progress] : members_)
     if (!progress.alive) return ": " + name + " is down";
-  return ": not all of its dispatchers have been changed";
+  return ": its dispatchers have not all been changed";
 }
 
 // Orders --------------------------------------------------------------------------------------------------
@@ -202,7 +201,7 @@
   switch (kind) {
     case Order::Kind::check:
       // No member runs the new version yet, so the rollout ends here.
-      if (phase_ == Phase::checking) rollback_reason_ = member + " cannot run it: " + why;
+      if (phase_ == Phase::checking) rollback_reason_ = member + " cannot take it: " + why;
       if (phase_ == Phase::checking) phase_ = Phase::back;
       for (auto& [name, other] : members_) other.order.reset();
       return;
@@ -283,7 +282,7 @@
   if (found == members_.end() || over() || phase_ == Phase::going_back || phase_ == Phase::checking)
     return {};
   if (!found->second.order) found->second.state = MemberState::on_old;
-  roll_back(member + " went back on its own: " + why);
+  roll_back(member + " went back by itself: " + why);
   return next_orders(now);
 }
 
@@ -350,14 +349,14 @@
 
 Rollout Rollout::parse(const std::string& text) {
   const json object = json::parse(text, nullptr, false);
-  if (!object.is_object()) throw std::invalid_argument("not the state of a rollout: not a JSON object");
+  if (!object.is_object()) throw std::invalid_argument("no state of a change");
   try {
     if (object.at("version") != kFormatVersion)
-      throw std::invalid_argument("state has version " + object.at("version").dump() +
-                                  "; this program reads version " + std::to_string(kFormatVersion));
+      throw std::invalid_argument("a state of version " + object.at("version").dump() + "; this one reads " +
+                                  std::to_string(kFormatVersion));
     const auto int_in_range = [](const json& value, int min, int max) {
       const int number = value.get<int>();
-      if (number < min || number > max) throw std::invalid_argument("state has a value out of range");
+      if (number < min || number > max) throw std::invalid_argument("a state that cannot be right");
       return number;
     };
     Rollout restored;
--- a/src/supervise/supervise.cpp
+++ b/src/supervise/supervise.cpp
@@ -133,8 +133,7 @@
   child = {};
   if (ended.state == ChildState::starting && ended.version == desired_) {
     const bool none_serving = active_slot() < 0;
-    fail_change(now,
-                ended.killed ? "the process was not ready in time" : "the process ended before it served");
+    fail_change(now, ended.killed ? "it did not get ready in time" : "it ended before it served");
     if (none_serving) handle_crash(now);
   } else if (ended.state == ChildState::serving) {
     total_crashes_ += 1;
@@ -151,8 +150,7 @@
                      limits_.first_backoff_ms * std::pow(2.0, std::min(consecutive_crashes_, 20)));
   consecutive_crashes_ += 1;
   if (consecutive_crashes_ < limits_.max_crashes || desired_ == last_good_) return;
-  fallback_reason_ = "the process ended " + std::to_string(consecutive_crashes_) +
-                     " times before it had served for " +
+  fallback_reason_ = "it ended " + std::to_string(consecutive_crashes_) + " times before it had served for " +
                      std::to_string(static_cast<int>(limits_.good_after_ms)) + " ms";
   desired_ = last_good_;
   consecutive_crashes_ = 0;
@@ -172,15 +170,15 @@
 // Orders --------------------------------------------------------------------------------------------------
 
 std::string Core::handle_order(double now, const Order& order, Effects& effects) {
-  if (shutting_down_) return "the supervisor is shutting down";
+  if (shutting_down_) return "this supervisor is ending";
   if (!controller_.empty() && order.controller != controller_ && !order.take_over)
-    return "controller " + controller_ + " leads here; use --take-over to replace it";
+    return "controller " + controller_ + " leads here; --take-over ends that";
   if (order.number < last_order_number_ ||
       (order.number == last_order_number_ && order.controller != controller_))
     return "order " + std::to_string(order.number) + " is older than " + std::to_string(last_order_number_);
   if (order.number == last_order_number_) return {};  // a repeated order
   if (order.kind != Order::Kind::check && (order.change != change_ || !candidate_))
-    return "change " + order.change + " has not been checked here";
+    return "change " + order.change + " was not checked here";
   last_order_number_ = order.number;
   controller_ = order.controller;
   order_kind_ = order.kind;
@@ -271,11 +269,11 @@
 
 Core Core::from(const std::string& text, Limits limits) {
   const json object = json::parse(text, nullptr, false);
-  if (!object.is_object()) throw std::invalid_argument("not the state of a supervisor: not a JSON object");
+  if (!object.is_object()) throw std::invalid_argument("no state of a supervisor");
   try {
     if (object.at("format") != kStateFormat)
-      throw std::invalid_argument("the supervisor's state has format " + object.at("format").dump() +
-                                  "; this program reads format " + std::to_string(kStateFormat));
+      throw std::invalid_argument("a supervisor's state of format " + object.at("format").dump() +
+                                  "; this one reads " + std::to_string(kStateFormat));
     const auto optional_version = [&](const char* key) {
       return object.at(key).is_null() ? std::nullopt : std::optional(version_from_json(object.at(key)));
     };
@@ -291,7 +289,7 @@
     const auto order_kind = order_kind_from(object.at("doing"));
     const int progress = object.at("progress");
     if (!order_kind || progress < 0 || progress > static_cast<int>(Progress::failed))
-      throw std::invalid_argument("the supervisor's state has a value out of range");
+      throw std::invalid_argument("a supervisor's state that cannot be right");
     restored.order_kind_ = *order_kind;
     restored.progress_ = static_cast<Progress>(progress);
     restored.failure_reason_ = object.at("why");
@@ -303,7 +301,7 @@
     // order starts another.
     if (restored.progress_ == Progress::working && restored.order_kind_ == Order::Kind::check) {
       restored.progress_ = Progress::failed;
-      restored.failure_reason_ = "the supervisor was restarted during the examination";
+      restored.failure_reason_ = "the supervisor was started again meanwhile";
     }
     return restored;
   } catch (const json::exception& error) {
--- a/src/supervise/supervisor.cpp
+++ b/src/supervise/supervisor.cpp
@@ -452,12 +452,12 @@
       const bool unknown_command = WIFEXITED(status) && WEXITSTATUS(status) == 2;
       if (succeeded && version_report.is_object())
         examination.version.protocol_version = version_report.value("kin", 1);
-      if (!succeeded && !unknown_command) failure = "the program cannot report its version";
+      if (!succeeded && !unknown_command) failure = "it cannot say its version";
       const int running_version = core_.desired().protocol_version;
       if (std::abs(examination.version.protocol_version - running_version) > 1)
-        failure = "the program has protocol version " + std::to_string(examination.version.protocol_version) +
-                  ", the running process has " + std::to_string(running_version) +
-                  "; they may differ by one at most";
+        failure = "it speaks version " + std::to_string(examination.version.protocol_version) +
+                  " to the process that runs, which speaks " + std::to_string(running_version) +
+                  ": one step is the most";
       if (failure.empty()) {
         examination.checking_config = true;
         std::vector<std::string> arguments{examination.version.program, "check-config", "--config",
@@ -468,7 +468,7 @@
       }
     } else if (!succeeded) {
       failure = last_line(file("look.txt"));
-      if (failure.empty()) failure = "check-config failed";
+      if (failure.empty()) failure = "check-config did not end well";
     }
     const Examination finished = *std::exchange(examination_, std::nullopt);
     apply_event([&] { return core_.on_examined(clock_.now(), finished.number, finished.version, failure); });
@@ -526,14 +526,14 @@
     } catch (const std::exception& error) {
       return std::string("error ") + error.what();
     }
-    return "error unknown command";
+    return "error no such call";
   }
 
   // Stores and executes an order of a controller.
   std::string accept_order(const json& request) {
     Order order;
     const auto kind = order_kind_from(request.at("kind"));
-    if (!kind) return "error unknown order";
+    if (!kind) return "error no such order";
     order.kind = *kind;
     order.controller = request.at("controller");
     order.change = request.at("change");
@@ -571,7 +571,7 @@
     const auto answer = net::call(options_.management_addresses.at(static_cast<std::size_t>(active)),
                                   evacuated ? "evacuate" : "activate", kChildCallTimeoutMs);
     child_process(active).operator_state_sent = answer.has_value();
-    return answer ? "done" : "error the child has not confirmed it yet";
+    return answer ? "done" : "error it is not done yet";
   }
   std::string set_excluded(const std::string& command, const std::string& worker) {
     core_.exclude(worker, command == "exclude");
@@ -580,7 +580,7 @@
     if (active < 0) return "done";
     return net::call(options_.management_addresses.at(static_cast<std::size_t>(active)),
                      command + ' ' + worker, kChildCallTimeoutMs)
-        .value_or("error the child has not confirmed it yet");
+        .value_or("error it is not done yet");
   }
 
   json status() {
@@ -622,7 +622,7 @@
 
   std::string statistics() {
     const int active = core_.active_slot();
-    if (active < 0) return "error no child serves";
+    if (active < 0) return "error nobody serves";
     const std::string& address = options_.management_addresses.at(static_cast<std::size_t>(active));
     auto answer = net::call(address, "figures", kChildCallTimeoutMs);
     json classes;
@@ -630,7 +630,7 @@
       classes = json::parse(answer->substr(5));
     } else {  // an older program without this command
       answer = net::call(address, "telemetry", kChildCallTimeoutMs);
-      if (!answer || !answer->ends_with("\nend")) return "error the child returned no statistics";
+      if (!answer || !answer->ends_with("\nend")) return "error no figures";
       classes = json::parse(core::text_of(core::read_telemetry(*answer)));
     }
     const pid_t pid = child_process(active).id.pid;
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -46,7 +46,7 @@
     if (done && order.kind == Kind::go_back) runs_new[order.member] = false;
     if (done && order.kind == Kind::keep_out) kept_out.insert(order.member);
     if (reply_arrives)
-      enqueue(rollout.answered(now, order, done, "refused"));
+      enqueue(rollout.answered(now, order, done, "it says no"));
     else
       delayed_results.push_back({order, done});
   }
@@ -117,7 +117,7 @@
   CHECK(fleet.pending_orders.size() == 4);
   fleet.execute({Kind::check, "n2", 3}, false, true);
   CHECK(fleet.rollout.phase() == Phase::back);
-  CHECK(fleet.rollout.reason() == "n2 cannot run it: refused");
+  CHECK(fleet.rollout.reason() == "n2 cannot take it: it says no");
   fleet.execute({Kind::check, "n1", 2}, true, true);
   fleet.run_without_faults(Word::not_worse);
   CHECK(fleet.new_version_count() == 0);
@@ -191,7 +191,7 @@
   std::string text = Rollout(plan_of(2, 1, {1, 2})).text();
   CHECK(Rollout::parse(text).text() == text);
   text.replace(text.find("\"version\": 1"), 12, "\"version\": 2");
-  CHECK_THROWS_WITH(Rollout::parse(text), "state has version 2; this program reads version 1");
+  CHECK_THROWS_WITH(Rollout::parse(text), "a state of version 2; this one reads 1");
   CHECK_THROWS_AS(Rollout(plan_of(4, 1, {2, 2, 4})), std::invalid_argument);
   CHECK_THROWS_AS(Rollout(plan_of(4, 1, {2})), std::invalid_argument);
 }
--- a/tests/supervise_test.cpp
+++ b/tests/supervise_test.cpp
@@ -151,7 +151,7 @@
   simulation.processes[1]->stuck = true;
   simulation.pass(1'500);
   CHECK(simulation.core.progress() == Core::Progress::failed);
-  CHECK(simulation.core.failure_reason() == "the process was not ready in time");
+  CHECK(simulation.core.failure_reason() == "it did not get ready in time");
   CHECK(*simulation.serving() == kOld);
   simulation.send_order(order(Order::Kind::check, 3));
   simulation.examine({}, "no such file");
