--- a/src/lab/hollow/call_queue.cpp
+++ b/src/lab/hollow/call_queue.cpp
@@ -5,11 +5,11 @@
 
 namespace woadtide::lab::hollow {
 
-void CallQueue::arrive(CallId call, double now, CountLines count_lines) {
+void CallQueue::add_call(CallId call, double now, CountLines count_lines) {
   waiting_.push_back({call, now, std::move(count_lines)});
   unanswered_.push_back({call, now + settings_.patience_ms});
   open_.insert(call);
-  if (!turn_) begin_turn();
+  if (!turn_) start_turn();
 }
 
 void CallQueue::abandon(CallId call) {
@@ -18,46 +18,47 @@
   std::erase_if(waiting_, [call](const Waiting& waiting) { return waiting.call == call; });
 }
 
-void CallQueue::begin_turn() {
+void CallQueue::start_turn() {
   if (waiting_.empty()) return;
   const Waiting next = std::move(waiting_.front());
   waiting_.pop_front();
-  const double begins = std::max(free_at_, next.arrived);
+  const double starts_at_ms = std::max(free_at_ms_, next.arrived_ms);
   const double lines = static_cast<double>(next.count_lines());
-  turn_ = Turn{next.call, begins + settings_.work_per_call_ms + settings_.work_per_line_ms * lines};
+  turn_ =
+      ServiceTurn{next.call, starts_at_ms + settings_.work_per_call_ms + settings_.work_per_line_ms * lines};
 }
 
-double CallQueue::next_refusal() const {
+double CallQueue::next_refusal_ms() const {
   for (const Unanswered& unanswered : unanswered_)
-    if (is_open(unanswered.call)) return unanswered.refused_at;
+    if (is_open(unanswered.call)) return unanswered.refused_at_ms;
   return kNever;
 }
 
-double CallQueue::next_due() const { return std::min(turn_ ? turn_->ends : kNever, next_refusal()); }
+double CallQueue::next_due() const { return std::min(turn_ ? turn_->ends_at_ms : kNever, next_refusal_ms()); }
 
-std::vector<CallQueue::Ended> CallQueue::advance(double now) {
-  std::vector<Ended> ended;
+std::vector<CallQueue::CompletedCall> CallQueue::advance(double now) {
+  std::vector<CompletedCall> completed;
   for (;;) {
     while (!unanswered_.empty() && !is_open(unanswered_.front().call)) unanswered_.pop_front();
-    const double refusal = next_refusal();
-    const double turn_ends = turn_ ? turn_->ends : kNever;
-    if (std::min(refusal, turn_ends) > now) return ended;
-    if (refusal < turn_ends) {
+    const double refusal_ms = next_refusal_ms();
+    const double turn_ends_ms = turn_ ? turn_->ends_at_ms : kNever;
+    if (std::min(refusal_ms, turn_ends_ms) > now) return completed;
+    if (refusal_ms < turn_ends_ms) {
       const CallId call = unanswered_.front().call;
       unanswered_.pop_front();
       open_.erase(call);
-      ended.push_back({call, Ending::refused});
+      completed.push_back({call, Outcome::refused});
       continue;
     }
     const CallId call = turn_->call;
-    free_at_ = turn_->ends;
+    free_at_ms_ = turn_->ends_at_ms;
     turn_.reset();
     if (!is_open(call)) wasted_turns_ += 1;
     if (is_open(call) && available_) {
       open_.erase(call);
-      ended.push_back({call, Ending::answered});
+      completed.push_back({call, Outcome::answered});
     }
-    begin_turn();
+    start_turn();
   }
 }
 
--- a/src/lab/hollow/fleet_day.cpp
+++ b/src/lab/hollow/fleet_day.cpp
@@ -13,25 +13,28 @@
 
 namespace {
 
-// Times of the fleet, before the speed is counted in.
+// Times of the simulated day, before division by the speed.
 constexpr double kDayMs = 24 * 3'600'000.0;
-constexpr double kDrainMs = 30'000;                          // from the drain of a worker to its end
-constexpr double kStartMs = 30'000;                          // from its end to its next start
-constexpr double kRepairMs = 600'000;                        // from the loss of a machine to its return
-constexpr double kRackLossMs = 1'000, kZoneLossMs = 60'000;  // over which all of them are lost, or return
+constexpr double kDrainDurationMs = 30'000;    // from the start of a worker's drain to its stop
+constexpr double kRestartDelayMs = 30'000;     // from its stop to its next start
+constexpr double kRepairDurationMs = 600'000;  // from a machine's failure to its return
+// Time within which all machines of a rack or zone fail, and later return.
+constexpr double kRackFailureSpreadMs = 1'000, kZoneFailureSpreadMs = 60'000;
 constexpr std::size_t kRackWorkers = 40;
-constexpr double kLatest = 0.95;  // of the day, for what takes time to be over by its end
+// Share of the day in which events start, so that those that take time are over by its end.
+constexpr double kLatestStartShare = 0.95;
 
-class Day {
+class DayGenerator {
  public:
-  explicit Day(const FleetDaySettings& settings) : settings_(settings), random_(settings.seed) {}
+  explicit DayGenerator(const FleetDaySettings& settings) : settings_(settings), random_(settings.seed) {}
 
-  std::vector<FleetChange> draw() {
-    for (int i = scaled(settings_.failures); i > 0; --i) lose(any_worker(), any_time());
-    for (int i = scaled(settings_.restarts); i > 0; --i) restart(any_worker(), any_time());
-    for (int i = settings_.racks; i > 0; --i) lose_rack(any_worker(), any_time());
-    for (int i = settings_.zones; i > 0; --i) lose_zone(any_worker(), any_time());
-    for (int i = scaled(settings_.other_changes); i > 0; --i) reweigh(any_worker(), any_time());
+  std::vector<FleetChange> generate() {
+    for (int i = scale_count(settings_.failures); i > 0; --i) add_failure(random_worker(), random_time());
+    for (int i = scale_count(settings_.restarts); i > 0; --i) add_restart(random_worker(), random_time());
+    for (int i = settings_.rack_failures; i > 0; --i) add_rack_failure(random_worker(), random_time());
+    for (int i = settings_.zone_failures; i > 0; --i) add_zone_failure(random_worker(), random_time());
+    for (int i = scale_count(settings_.weight_changes); i > 0; --i)
+      add_weight_change(random_worker(), random_time());
     std::stable_sort(changes_.begin(), changes_.end(),
                      [](const FleetChange& a, const FleetChange& b) { return a.at_ms < b.at_ms; });
     return std::move(changes_);
@@ -39,38 +42,42 @@
 
  private:
   double uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
-  double any_time() { return uniform() * kLatest * kDayMs; }
-  std::size_t any_worker() { return random_() % settings_.workers; }
-  int scaled(int count) const {
+  double random_time() { return uniform() * kLatestStartShare * kDayMs; }
+  std::size_t random_worker() { return random_() % settings_.workers; }
+  int scale_count(int count) const {
     const double share = static_cast<double>(settings_.workers) / FleetDaySettings::kReferenceWorkers;
     return count == 0 ? 0 : std::max(1, static_cast<int>(std::lround(count * share)));
   }
-  void add(std::size_t worker, WorkerState state, double at, bool starts = false, double weight = 1) {
-    const double at_ms = at / settings_.speed;
-    FleetChange change{at_ms, HollowFleet::worker(worker, state, starts ? settings_.start_ms + at_ms : 0)};
-    change.host.entry.weight = weight;
+  void add_change(std::size_t worker, WorkerState state, double day_ms, bool starts = false,
+                  double weight = 1) {
+    const double at_ms = day_ms / settings_.speed;
+    FleetChange change{at_ms,
+                       HollowFleet::worker_endpoint(worker, state, starts ? settings_.start_ms + at_ms : 0)};
+    change.endpoint.entry.weight = weight;
     changes_.push_back(std::move(change));
   }
-  void lose(std::size_t worker, double at) {
-    add(worker, WorkerState::gone, at);
-    add(worker, WorkerState::ready, at + kRepairMs, true);
+  void add_failure(std::size_t worker, double day_ms) {
+    add_change(worker, WorkerState::gone, day_ms);
+    add_change(worker, WorkerState::ready, day_ms + kRepairDurationMs, true);
   }
-  void restart(std::size_t worker, double at) {
-    add(worker, WorkerState::draining, at);
-    add(worker, WorkerState::gone, at + kDrainMs);
-    add(worker, WorkerState::ready, at + kDrainMs + kStartMs, true);
+  void add_restart(std::size_t worker, double day_ms) {
+    add_change(worker, WorkerState::draining, day_ms);
+    add_change(worker, WorkerState::gone, day_ms + kDrainDurationMs);
+    add_change(worker, WorkerState::ready, day_ms + kDrainDurationMs + kRestartDelayMs, true);
   }
-  void lose_rack(std::size_t worker, double at) {
+  void add_rack_failure(std::size_t worker, double day_ms) {
     for (std::size_t i = 0; i < std::min(kRackWorkers, settings_.workers); ++i)
-      lose((worker + i) % settings_.workers, at + uniform() * kRackLossMs);
+      add_failure((worker + i) % settings_.workers, day_ms + uniform() * kRackFailureSpreadMs);
   }
-  void lose_zone(std::size_t worker, double at) {
-    const std::string zone = HollowFleet::worker(worker, WorkerState::ready).entry.zone;
+  void add_zone_failure(std::size_t worker, double day_ms) {
+    const std::string zone = HollowFleet::worker_endpoint(worker, WorkerState::ready).entry.zone;
     for (std::size_t i = 0; i < settings_.workers; ++i)
-      if (HollowFleet::worker(i, WorkerState::ready).entry.zone == zone)
-        lose(i, at + uniform() * kZoneLossMs);
+      if (HollowFleet::worker_endpoint(i, WorkerState::ready).entry.zone == zone)
+        add_failure(i, day_ms + uniform() * kZoneFailureSpreadMs);
+  }
+  void add_weight_change(std::size_t worker, double day_ms) {
+    add_change(worker, WorkerState::ready, day_ms, false, 0.5 + uniform());
   }
-  void reweigh(std::size_t worker, double at) { add(worker, WorkerState::ready, at, false, 0.5 + uniform()); }
 
   const FleetDaySettings settings_;
   std::mt19937_64 random_;
@@ -79,6 +86,8 @@
 
 }  // namespace
 
-std::vector<FleetChange> draw_day(const FleetDaySettings& settings) { return Day(settings).draw(); }
+std::vector<FleetChange> draw_day(const FleetDaySettings& settings) {
+  return DayGenerator(settings).generate();
+}
 
 }  // namespace woadtide::lab::hollow
--- a/src/lab/hollow/fleet_day.hpp
+++ b/src/lab/hollow/fleet_day.hpp
@@ -1,5 +1,5 @@
-// What happens to the workers of a fleet on one day, as changes of discovery's list: drawn from a seed, and
-// the same for the same seed. Knows no sockets and no clock.
+// Generates one day of a fleet: changes of its workers, as changes of discovery's list. Drawn from a seed;
+// the same seed gives the same day. Uses no sockets and no clock.
 #pragma once
 
 #include <cstddef>
@@ -10,26 +10,29 @@
 
 namespace woadtide::lab::hollow {
 
+// How much happens on the day, and how fast it passes.
 struct FleetDaySettings {
   std::size_t workers = 3'200;
-  double speed = 1;  // so many times faster than a day of 24 h
+  double speed = 1;  // factor by which the day passes faster than 24 h
   std::uint64_t seed = 1;
-  double start_ms = 0;  // Unix time of the day's begin: workers that start again say when
-  // Of a fleet of kReferenceWorkers; another size has its share of them, one at least.
+  double start_ms = 0;  // Unix time (ms) when the day starts; restarted workers list their start time
+  // Counts for a fleet of kReferenceWorkers. Failures, restarts and weight changes scale with the fleet's
+  // size and are at least one; rack and zone failures do not scale.
   static constexpr std::size_t kReferenceWorkers = 3'200;
-  int failures = 61;          // a machine is lost, and comes back
-  int restarts = 1'000;       // drained, gone, and started again
-  int racks = 1;              // kRackWorkers machines are lost within a second, and come back
-  int zones = 1;              // all machines of a zone are, over a minute
-  int other_changes = 1'300;  // of a worker's weight
+  int failures = 61;           // a machine fails and returns
+  int restarts = 1'000;        // a worker drains, leaves the list and starts again
+  int rack_failures = 1;       // the 40 machines of a rack fail within a second and return
+  int zone_failures = 1;       // all machines of a zone fail within a minute and return
+  int weight_changes = 1'300;  // changes of a worker's weight
 };
 
+// One change of discovery's list.
 struct FleetChange {
-  double at_ms = 0;  // since the day's begin, speed counted in
-  core::Host host;
+  double at_ms = 0;  // real time since the day started
+  core::Host endpoint;
 };
 
-// By time.
+// Returns the day's changes, ordered by time.
 std::vector<FleetChange> draw_day(const FleetDaySettings& settings);
 
 }  // namespace woadtide::lab::hollow
--- a/src/lab/hollow/hollow_command.cpp
+++ b/src/lab/hollow/hollow_command.cpp
@@ -12,56 +12,57 @@
 
 namespace {
 
-// A run with every dispatcher needs a few descriptors for each; these bounds keep it within usual limits.
-constexpr int kMostDispatchers = 3'000, kMostWorkers = 100'000;
-constexpr double kMostSeconds = 24 * 3'600;
+// Each dispatcher needs a few descriptors; these limits keep a run within the usual descriptor limit.
+constexpr int kMaxDispatchers = 3'000, kMaxWorkers = 100'000;
+constexpr double kMaxSeconds = 24 * 3'600;
 
 void check(const HollowRunSettings& settings) {
-  if (settings.dispatchers < 1 || settings.dispatchers > kMostDispatchers)
-    throw std::runtime_error("--dispatchers: 1 to 3000 wanted");
-  if (settings.workers < 1 || settings.workers > kMostWorkers)
-    throw std::runtime_error("--workers: 1 to 100000 wanted");
-  if (!(settings.seconds >= 1 && settings.seconds <= kMostSeconds))
-    throw std::runtime_error("--seconds: 1 to 86400 wanted");
-  if (!(settings.speed > 0)) throw std::runtime_error("--speed: over 0 wanted");
+  if (settings.dispatchers < 1 || settings.dispatchers > kMaxDispatchers)
+    throw std::runtime_error("--dispatchers: must be from 1 to 3000");
+  if (settings.workers < 1 || settings.workers > kMaxWorkers)
+    throw std::runtime_error("--workers: must be from 1 to 100000");
+  if (!(settings.seconds >= 1 && settings.seconds <= kMaxSeconds))
+    throw std::runtime_error("--seconds: must be from 1 to 86400");
+  if (!(settings.speed > 0)) throw std::runtime_error("--speed: must be greater than 0");
   if (!(settings.cut_share >= 0 && settings.cut_share < 1))
-    throw std::runtime_error("--cut-share: 0 to under 1 wanted");
+    throw std::runtime_error("--cut-share: must be at least 0 and less than 1");
 }
 
 }  // namespace
 
 int run_command(int argc, const char* const* argv) {
   HollowRunSettings settings;
-  options::options_description shown("Options");
-  const auto add = [&shown](const char* name, auto& value, const char* what) {
-    shown.add_options()(name, options::value(&value)->default_value(value), what);
+  options::options_description known_options("Options");
+  const auto add = [&known_options](const char* name, auto& value, const char* description) {
+    known_options.add_options()(name, options::value(&value)->default_value(value), description);
   };
-  shown.add_options()("help,h", "print this page");
-  add("workers", settings.workers, "on discovery's list");
-  add("dispatchers", settings.dispatchers, "that follow it, all in this process");
-  add("seconds", settings.seconds, "s of real time that are played");
-  add("speed", settings.speed, "how many times faster than 24 h the day goes by");
-  add("seed", settings.seed, "of all that is drawn");
-  add("outage-at", settings.outage_at_s, "s of real time after the day's begin at which discovery goes down");
-  add("outage-s", settings.outage_s, "s for which it is down; 0: no outage");
-  add("cut-share", settings.cut_share, "share of discovery's lines that are cut in the middle");
-  add("call-ms", settings.work_per_call_ms, "ms of discovery's work for a call");
-  add("line-ms", settings.work_per_line_ms, "ms of its work for each entry of an answer");
-  add("patience-ms", settings.patience_ms, "ms after which it refuses a call that waits");
+  known_options.add_options()("help,h", "print this help");
+  add("workers", settings.workers, "number of workers on discovery's list");
+  add("dispatchers", settings.dispatchers, "number of dispatchers that watch it, all in this process");
+  add("seconds", settings.seconds, "real time to run, in s");
+  add("speed", settings.speed, "factor by which the day passes faster than 24 h");
+  add("seed", settings.seed, "seed of all random choices");
+  add("outage-at", settings.outage_at_s,
+      "start of discovery's outage, in s of real time after the day starts");
+  add("outage-s", settings.outage_s, "length of the outage, in s; 0: no outage");
+  add("cut-share", settings.cut_share, "share of discovery's lines that are cut off in the middle");
+  add("call-ms", settings.work_per_call_ms, "discovery's processing time for a call, in ms");
+  add("line-ms", settings.work_per_line_ms, "its processing time for each entry of an answer, in ms");
+  add("patience-ms", settings.patience_ms, "time after which it refuses a waiting call, in ms");
   options::variables_map values;
-  options::store(options::command_line_parser(argc, argv).options(shown).positional({}).run(), values);
+  options::store(options::command_line_parser(argc, argv).options(known_options).positional({}).run(),
+                 values);
   options::notify(values);
   if (values.count("help")) {
-    std::cout
-        << "Usage: woadtide-lab hollow [options]\n\nMany dispatchers without traffic follow one service "
-           "discovery over a day that is sped up. Prints one JSON object.\n\n"
-        << shown;
+    std::cout << "Usage: woadtide-lab hollow [options]\n\nMany dispatchers without traffic watch one service "
+                 "discovery over a time-compressed day. Prints one JSON object.\n\n"
+              << known_options;
     return 0;
   }
   check(settings);
   const HollowRunResult result = run_hollow(settings);
   std::cout << result.report << '\n';
-  return result.good() ? 0 : 1;
+  return result.passed() ? 0 : 1;
 }
 
 }  // namespace woadtide::lab::hollow
--- a/src/lab/hollow/hollow_dispatcher.cpp
+++ b/src/lab/hollow/hollow_dispatcher.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-constexpr std::uint64_t kSeedStep = 0x9E3779B97F4A7C15U;  // a dispatcher that starts again draws anew
+// Gives each start of a dispatcher its own random stream.
+constexpr std::uint64_t kSeedStep = 0x9E3779B97F4A7C15U;
 
-// Sends nothing: every attempt succeeds at once, and so does every probe.
+// Sends nothing: every attempt and every probe succeeds immediately.
 class ImmediateExecutor : public core::Executor {
  public:
   explicit ImmediateExecutor(core::Inbox& inbox) : inbox_(inbox) {}
@@ -31,8 +32,8 @@
   core::Inbox& inbox_;
 };
 
-// There is no other process of this dispatcher.
-class NoKin : public core::Kin {
+// Stands for the absence of a sibling process.
+class NoSibling : public core::Kin {
  public:
   void tell(const core::Word&) override {}
   bool alone() const override { return true; }
@@ -40,45 +41,48 @@
 
 }  // namespace
 
-// One life of a dispatcher, from a start to its stop.
+// The state of a dispatcher from a start to the next stop.
 struct HollowDispatcher::Instance : park::Guest {
-  Instance(HollowRuntime& in, const HollowDispatcherSettings& settings, std::uint64_t seed,
-           const OnList& observer, const core::HostList& remembered)
-      : runtime(in),
-        on_list(observer),
+  Instance(HollowRuntime& shared_runtime, const HollowDispatcherSettings& settings, std::uint64_t seed,
+           const OnList& list_callback, const core::HostList& remembered)
+      : runtime(shared_runtime),
+        on_list(list_callback),
         executor(inbox),
-        hosts(settings.discovery, remembered, in.clock, lists, in.buffers, in.park, in.crew),
-        loop(settings.settings, settings.class_names, seed, in.clock, inbox, executor, hosts, kin),
-        place(in.park.enter(*this, -1)) {
-    const auto wake = [this] { runtime.park.poke(place, {}); };
-    lists.set_owner(wake);
+        endpoint_client(settings.discovery, remembered, shared_runtime.clock, list_updates,
+                        shared_runtime.buffers, shared_runtime.event_loop, shared_runtime.thread_pool),
+        loop(settings.settings, settings.class_names, seed, shared_runtime.clock, inbox, executor,
+             endpoint_client, sibling),
+        token(shared_runtime.event_loop.enter(*this, -1)) {
+    const auto wake = [this] { runtime.event_loop.poke(token, {}); };
+    list_updates.set_owner(wake);
     inbox.set_owner(wake);
-    wake();  // what has come by now
+    wake();  // for messages that arrived before the notifiers were set
   }
   ~Instance() override {
-    lists.set_owner({});  // the thread pool may put into it until `hosts` has ended
+    list_updates.set_owner({});  // the thread pool may push into it until `endpoint_client` is destroyed
     inbox.set_owner({});
-    runtime.park.leave(place);
-    runtime.park.quiesce();
+    runtime.event_loop.leave(token);
+    runtime.event_loop.quiesce();
   }
 
   void ready(park::Signs) override { late(); }
   void late() override {
-    for (core::Message& message : lists.take()) {
-      if (const auto* told = std::get_if<core::ListTold>(&message); told && on_list) on_list(told->update);
+    for (core::Message& message : list_updates.take()) {
+      if (const auto* received = std::get_if<core::ListTold>(&message); received && on_list)
+        on_list(received->update);
       inbox.put(std::move(message), core::Inbox::Call::with_next);
     }
-    runtime.park.wake_at(place, runtime.clock.now() + loop.step());
+    runtime.event_loop.wake_at(token, runtime.clock.now() + loop.step());
   }
 
   HollowRuntime& runtime;
   const OnList& on_list;
-  core::Inbox lists, inbox;  // from the client of discovery, where it is observed; of the decision loop
+  core::Inbox list_updates, inbox;  // of the discovery client, observed here; of the decision loop
   ImmediateExecutor executor;
-  NoKin kin;
-  net::HostGroup hosts;
+  NoSibling sibling;
+  net::HostGroup endpoint_client;
   core::DecisionLoop loop;
-  park::Park::Token place;
+  park::Park::Token token;
 };
 
 HollowDispatcher::HollowDispatcher(HollowRuntime& runtime, HollowDispatcherSettings settings, OnList on_list)
@@ -88,14 +92,14 @@
 
 void HollowDispatcher::start(const core::HostList& remembered) {
   stop();
-  const std::uint64_t seed = settings_.seed + kSeedStep * starts_++;
+  const std::uint64_t seed = settings_.seed + kSeedStep * start_count_++;
   instance_ = std::make_unique<Instance>(runtime_, settings_, seed, on_list_, remembered);
 }
 
 void HollowDispatcher::stop() { instance_.reset(); }
 
 std::optional<net::HostGroup::Known> HollowDispatcher::find(const std::string& worker) const {
-  return instance_ ? instance_->hosts.find(worker) : std::nullopt;
+  return instance_ ? instance_->endpoint_client.find(worker) : std::nullopt;
 }
 
 }  // namespace woadtide::lab::hollow
--- a/src/lab/hollow/hollow_dispatcher.hpp
+++ b/src/lab/hollow/hollow_dispatcher.hpp
@@ -1,7 +1,6 @@
-// A dispatcher without real work: the real client of service discovery, the real module and its decision
-// loop, but no listener for clients and no connections to workers. Hundreds share one process and a few
-// threads, so that what a large fleet asks of discovery, and what the list costs each dispatcher, can be
-// measured.
+// A hollow dispatcher: the real service discovery client, the real module and its decision loop, but no
+// client listener and no connections to workers. Hundreds of them share one process and a few threads, to
+// measure the load that a large fleet puts on discovery, and what the endpoint list costs each dispatcher.
 #pragma once
 
 #include <cstdint>
@@ -20,28 +19,33 @@
 
 namespace woadtide::lab::hollow {
 
-// What hollow dispatchers share: an event loop, a thread pool that opens their watches, and buffers.
+// Resources shared by hollow dispatchers: an event loop, a thread pool that opens their watches, and buffers.
 struct HollowRuntime {
-  static constexpr std::size_t kThreads = 8, kBuffers = 64;
-  explicit HollowRuntime(core::Clock& on)
-      : clock(on), buffers(kBuffers), park(on), crew({.most = kThreads}) {}
+  static constexpr std::size_t kThreadCount = 8, kBufferCount = 64;
+  explicit HollowRuntime(core::Clock& shared_clock)
+      : clock(shared_clock),
+        buffers(kBufferCount),
+        event_loop(shared_clock),
+        thread_pool({.most = kThreadCount}) {}
 
   core::Clock& clock;
   net::BufferPool buffers;
-  park::Park park;
-  park::Crew crew;
+  park::Park event_loop;
+  park::Crew thread_pool;
 };
 
+// Settings of one hollow dispatcher.
 struct HollowDispatcherSettings {
-  std::string discovery;  // address
+  std::string discovery;  // address of service discovery, HOST:PORT
   std::uint64_t seed = 0;
   woadtide::Settings settings;
   std::vector<std::string> class_names;
 };
 
+// One hollow dispatcher, which can be stopped and started again.
 class HollowDispatcher {
  public:
-  // Called on the runtime's event loop with each list that comes, before the module has it. Must not block.
+  // Called on the runtime's event loop with each list update, before the module gets it. Must not block.
   using OnList = std::function<void(const woadtide::ListUpdate&)>;
 
   HollowDispatcher(HollowRuntime& runtime, HollowDispatcherSettings settings, OnList on_list = {});
@@ -49,11 +53,11 @@
   HollowDispatcher(const HollowDispatcher&) = delete;
   HollowDispatcher& operator=(const HollowDispatcher&) = delete;
 
-  // Starts it, or starts it again, from a list that it remembers.
+  // Starts or restarts the dispatcher with a remembered list.
   void start(const core::HostList& remembered);
   void stop();
-  bool runs() const { return instance_ != nullptr; }
-  // As its newest list has the worker; nullopt where it names no such worker, or the dispatcher does not run.
+  bool is_running() const { return instance_ != nullptr; }
+  // The worker's entry in the newest list; nullopt if it has none or the dispatcher is stopped.
   std::optional<net::HostGroup::Known> find(const std::string& worker) const;
 
  private:
@@ -62,7 +66,7 @@
   HollowRuntime& runtime_;
   const HollowDispatcherSettings settings_;
   const OnList on_list_;
-  std::uint64_t starts_ = 0;
+  std::uint64_t start_count_ = 0;
   std::unique_ptr<Instance> instance_;
 };
 
--- a/src/lab/hollow/hollow_fleet.hpp
+++ b/src/lab/hollow/hollow_fleet.hpp
@@ -1,4 +1,4 @@
-// Many hollow dispatchers in one process, and the service discovery that they follow.
+// Many hollow dispatchers in one process, and the service discovery that they watch.
 #pragma once
 
 #include <cstdint>
@@ -11,40 +11,43 @@
 
 namespace woadtide::lab::hollow {
 
+// Size and settings of a fleet.
 struct HollowFleetSettings {
   int dispatchers = 300;
   int workers = 200;
-  int dispatchers_per_runtime = 50;  // that share an event loop and a thread pool
-  double must_ask_within_ms = 10'000;
+  int dispatchers_per_runtime = 50;    // how many share an event loop and a thread pool
+  double must_ask_within_ms = 10'000;  // longest interval of calls while not subscribed
   std::uint64_t seed = 1;
   ListSourceSettings source;
 };
 
+// Owns the dispatchers, their runtimes and the discovery.
 class HollowFleet {
  public:
-  // The dispatcher's number, and the list that came to it. Called on several threads. Must not block.
+  // Called with a dispatcher's number and each list update that it gets, on several threads. Must not block.
   using OnList = std::function<void(std::size_t, const woadtide::ListUpdate&)>;
 
-  // All workers are on the list, and no dispatcher runs.
+  // Afterwards all workers are on the list, and no dispatcher is running.
   HollowFleet(const HollowFleetSettings& settings, core::Clock& clock, OnList on_list = {});
 
   std::size_t size() const { return dispatchers_.size(); }
-  std::size_t workers() const { return workers_; }
+  std::size_t worker_count() const { return workers_; }
   ListSource& source() { return source_; }
   HollowDispatcher& dispatcher(std::size_t number) { return *dispatchers_.at(number); }
-  // Starts it, or starts it again, from a list that it remembers.
+  // Starts or restarts a dispatcher with a remembered list.
   void start(std::size_t dispatcher, const core::HostList& remembered);
-  // Threads of the processor time of which the dispatchers' part is made.
-  std::size_t runtimes() const { return runtimes_.size(); }
+  // Number of event loops with their thread pools.
+  std::size_t runtime_count() const { return runtimes_.size(); }
 
-  // Entry of a worker, as the list has it. `started_ms`: whole ms count; 0: long ago.
-  static core::Host worker(std::size_t number, woadtide::WorkerState state, double started_ms = 0);
+  // A worker's entry on the list. `started_ms`: Unix time in ms, rounded down to whole ms; 0: no start time.
+  static core::Host worker_endpoint(std::size_t number, woadtide::WorkerState state, double started_ms = 0);
 
  private:
   const std::size_t workers_;
   ListSource source_;
   std::vector<std::unique_ptr<HollowRuntime>> runtimes_;
-  std::vector<std::unique_ptr<HollowDispatcher>> dispatchers_;  // last: they use the runtimes
+  // Last: destroyed before the runtimes that they use.
+  std::vector<std::unique_ptr<HollowDispatcher>> dispatchers_;
 };
 
 }  // namespace woadtide::lab::hollow
--- a/src/lab/hollow/hollow_run.cpp
+++ b/src/lab/hollow/hollow_run.cpp
@@ -23,26 +23,27 @@
 
 namespace {
 
-constexpr double kWindowMs = 60'000, kLeastWindowMs = 1'000;  // the last one may be shorter
-constexpr double kFirstListsMs = 12'000;                      // for the first lists of all dispatchers
-constexpr double kToldWithinMs = 6'000;                       // by which a change has to be told
-constexpr double kEmptyLineBytes = 6;                         // with its chunk's marks
-constexpr int kStepMs = 5;
+// The last window may be shorter than kSampleWindowMs.
+constexpr double kSampleWindowMs = 60'000, kMinWindowMs = 1'000;
+constexpr double kFirstListsTimeoutMs = 12'000;  // until every dispatcher has its first list
+constexpr double kUpdateBindsAfterMs = 6'000;    // limit for the delivery of a change
+constexpr double kEmptyLineBytes = 6;            // including the chunk framing
+constexpr int kPollIntervalMs = 5;
 
 double cpu_ms(const timeval& time) {
   return static_cast<double>(time.tv_sec) * 1e3 + static_cast<double>(time.tv_usec) / 1e3;
 }
 
 double process_cpu_ms() {
-  rusage used{};
-  ::getrusage(RUSAGE_SELF, &used);
-  return cpu_ms(used.ru_utime) + cpu_ms(used.ru_stime);
+  rusage usage{};
+  ::getrusage(RUSAGE_SELF, &usage);
+  return cpu_ms(usage.ru_utime) + cpu_ms(usage.ru_stime);
 }
 
 double this_thread_cpu_ms() {
-  rusage used{};
-  ::getrusage(RUSAGE_THREAD, &used);
-  return cpu_ms(used.ru_utime) + cpu_ms(used.ru_stime);
+  rusage usage{};
+  ::getrusage(RUSAGE_THREAD, &usage);
+  return cpu_ms(usage.ru_utime) + cpu_ms(usage.ru_stime);
 }
 
 double resident_kb() {
@@ -55,22 +56,22 @@
   return static_cast<double>(traffic.list_bytes + traffic.empty_bytes + traffic.request_bytes);
 }
 
-// What all dispatchers were sent up to one moment.
+// Cumulative traffic of all dispatchers at one time.
 struct TrafficSample {
-  double at = 0;
+  double at_ms = 0;
   std::vector<ClientTraffic> clients;
 };
 
-class Run {
+class HollowRun {
  public:
-  explicit Run(const HollowRunSettings& settings)
+  explicit HollowRun(const HollowRunSettings& settings)
       : settings_(settings), fleet_(std::make_unique<HollowFleet>(fleet_settings(settings), clock_)) {}
 
-  HollowRunResult play() {
+  HollowRunResult run() {
     start_all();
-    play_day();
-    // What changed last may still be on its way.
-    pause_until(clock_.now() + kToldWithinMs, [this] { return source().lateness().untold == 0; });
+    run_day();
+    // The last changes may not be delivered yet.
+    wait_until(clock_.now() + kUpdateBindsAfterMs, [this] { return source().lateness().undelivered == 0; });
     measure_end();
     check();
     return {findings_, report().dump(2)};
@@ -92,165 +93,167 @@
 
   ListSource& source() { return fleet_->source(); }
 
-  void pause_until(double until, const std::function<bool()>& done) {
-    while (clock_.now() < until && !done()) ::poll(nullptr, 0, kStepMs);
+  void wait_until(double until_ms, const std::function<bool()>& condition) {
+    while (clock_.now() < until_ms && !condition()) ::poll(nullptr, 0, kPollIntervalMs);
   }
 
-  // From empty lists, so that all of them are told in whole.
+  // Starts all dispatchers with empty lists, so that each is sent the complete list.
   void start_all() {
     const double before_kb = resident_kb();
-    const double began = clock_.now();
+    const double started_at_ms = clock_.now();
     for (std::size_t i = 0; i < fleet_->size(); ++i) fleet_->start(i, {});
-    pause_until(began + kFirstListsMs, [this] { return source().lateness().untold == 0; });
-    first_lists_s_ = (clock_.now() - began) / 1'000;
-    first_lists_ = source().lateness().untold == 0;
-    memory_kb_ = (resident_kb() - before_kb) / static_cast<double>(fleet_->size());
-    source().forget_lateness();  // of the first lists
+    wait_until(started_at_ms + kFirstListsTimeoutMs, [this] { return source().lateness().undelivered == 0; });
+    first_lists_s_ = (clock_.now() - started_at_ms) / 1'000;
+    first_lists_in_time_ = source().lateness().undelivered == 0;
+    memory_per_dispatcher_kb_ = (resident_kb() - before_kb) / static_cast<double>(fleet_->size());
+    source().reset_lateness();  // leaves out the first lists
     calls_at_start_ = source().counts().calls;
-    cpu_before_ms_ = hollow_cpu_ms();
+    cpu_before_ms_ = dispatchers_cpu_ms();
   }
 
-  // Of the dispatchers: all but discovery's thread and this one.
-  double hollow_cpu_ms() { return process_cpu_ms() - source().cpu_ms() - this_thread_cpu_ms(); }
+  // Processor time of the dispatchers: of all threads but discovery's and this one.
+  double dispatchers_cpu_ms() { return process_cpu_ms() - source().cpu_ms() - this_thread_cpu_ms(); }
 
-  void play_day() {
+  void run_day() {
     FleetDaySettings day;
-    day.workers = fleet_->workers();
+    day.workers = fleet_->worker_count();
     day.speed = settings_.speed;
     day.seed = settings_.seed;
     day.start_ms = clock_.now();
     const std::vector<FleetChange> changes = draw_day(day);
-    const double end = day.start_ms + settings_.seconds * 1'000;
-    const double outage_at = day.start_ms + settings_.outage_at_s * 1'000;
+    const double end_ms = day.start_ms + settings_.seconds * 1'000;
+    const double outage_at_ms = day.start_ms + settings_.outage_at_s * 1'000;
     bool outage_is_due = settings_.outage_s > 0;
-    take_sample();
-    std::size_t next = 0;
-    while (clock_.now() < end) {
+    record_sample();
+    std::size_t next_change = 0;
+    while (clock_.now() < end_ms) {
       const double now = clock_.now();
-      for (; next < changes.size() && day.start_ms + changes[next].at_ms <= now; ++next)
-        source().set(changes[next].host);
-      if (outage_is_due && now >= outage_at) {
+      for (; next_change < changes.size() && day.start_ms + changes[next_change].at_ms <= now; ++next_change)
+        source().set(changes[next_change].endpoint);
+      if (outage_is_due && now >= outage_at_ms) {
         outage_is_due = false;
-        source().fail_for(settings_.outage_s * 1'000);
+        source().start_outage(settings_.outage_s * 1'000);
       }
-      if (now >= samples_.back().at + kWindowMs) take_sample();
-      ::poll(nullptr, 0, kStepMs);
+      if (now >= samples_.back().at_ms + kSampleWindowMs) record_sample();
+      ::poll(nullptr, 0, kPollIntervalMs);
     }
-    if (clock_.now() - samples_.back().at >= kLeastWindowMs) take_sample();
-    changes_ = next;
+    if (clock_.now() - samples_.back().at_ms >= kMinWindowMs) record_sample();
+    change_count_ = next_change;
   }
 
-  void take_sample() {
+  void record_sample() {
     TrafficSample sample{clock_.now(), {}};
     for (std::size_t i = 0; i < fleet_->size(); ++i) sample.clients.push_back(source().traffic(i));
     samples_.push_back(std::move(sample));
   }
 
   void measure_end() {
-    measured_s_ = (clock_.now() - samples_.front().at) / 1'000;
-    cpu_ms_ = (hollow_cpu_ms() - cpu_before_ms_) / static_cast<double>(fleet_->size());
+    measured_s_ = (clock_.now() - samples_.front().at_ms) / 1'000;
+    cpu_per_dispatcher_ms_ = (dispatchers_cpu_ms() - cpu_before_ms_) / static_cast<double>(fleet_->size());
     lateness_ = source().lateness();
     counts_ = source().counts();
   }
 
-  // How many dispatchers have the list as discovery holds it.
+  // Number of dispatchers whose list equals discovery's.
   std::size_t count_up_to_date() {
     std::map<std::string, core::Host> listed;
     const core::HostList list = source().snapshot();
-    for (const core::Host& host : list.hosts) listed.emplace(host.entry.worker, host);
+    for (const core::Host& endpoint : list.hosts) listed.emplace(endpoint.entry.worker, endpoint);
     std::size_t up_to_date = 0;
     for (std::size_t i = 0; i < fleet_->size(); ++i) up_to_date += has_list(fleet_->dispatcher(i), listed);
     return up_to_date;
   }
 
   bool has_list(const HollowDispatcher& dispatcher, const std::map<std::string, core::Host>& listed) const {
-    for (std::size_t i = 0; i < fleet_->workers(); ++i) {
-      const std::string worker = HollowFleet::worker(i, woadtide::WorkerState::ready).entry.worker;
-      const auto known = dispatcher.find(worker);
+    for (std::size_t i = 0; i < fleet_->worker_count(); ++i) {
+      const std::string worker = HollowFleet::worker_endpoint(i, woadtide::WorkerState::ready).entry.worker;
+      const auto actual = dispatcher.find(worker);
       const auto expected = listed.find(worker);
-      if (known.has_value() != (expected != listed.end())) return false;
-      if (known && !is_same(known->entry, expected->second.entry)) return false;
+      if (actual.has_value() != (expected != listed.end())) return false;
+      if (actual && !is_same_entry(actual->entry, expected->second.entry)) return false;
     }
     return true;
   }
 
-  static bool is_same(const woadtide::ListEntry& a, const woadtide::ListEntry& b) {
+  static bool is_same_entry(const woadtide::ListEntry& a, const woadtide::ListEntry& b) {
     return a.state == b.state && a.started == b.started && a.weight == b.weight;
   }
 
   void check() {
-    findings_.push_back({"all dispatchers are sent a first list within 12 s", first_lists_});
-    findings_.push_back({"every change is sent to every dispatcher", lateness_.untold == 0});
+    findings_.push_back({"all dispatchers are sent a first list within 12 s", first_lists_in_time_});
+    findings_.push_back({"every change is sent to every dispatcher", lateness_.undelivered == 0});
     findings_.push_back({"all dispatchers end with discovery's list", count_up_to_date() == fleet_->size()});
-    findings_.push_back({"no change is sent later than 6 s", lateness_.max_ms <= kToldWithinMs});
+    findings_.push_back({"no change is sent later than 6 s", lateness_.max_ms <= kUpdateBindsAfterMs});
   }
 
-  // Bytes of lists are `speed` times as many as on a real day, on which nearly all lines are empty ones. The
-  // estimate leaves out that fewer changes share a line there.
-  json window(const TrafficSample& from, const TrafficSample& to) const {
-    const double seconds = (to.at - from.at) / 1'000;
-    double sum = 0, least = 1e18, most = 0, scaled = 0;
+  // Traffic between two samples. List bytes per second are `speed` times those of a real day, on which nearly
+  // all lines are empty. The estimate at speed 1 ignores that fewer changes share a line there.
+  json window_report(const TrafficSample& from, const TrafficSample& to) const {
+    const double seconds = (to.at_ms - from.at_ms) / 1'000;
+    double sum_bytes_per_s = 0, min_bytes_per_s = 1e18, max_bytes_per_s = 0, sum_at_speed_1 = 0;
     for (std::size_t i = 0; i < to.clients.size(); ++i) {
-      const double bytes = (total_bytes(to.clients[i]) - total_bytes(from.clients[i])) / seconds;
-      const auto empty =
+      const double bytes_per_s = (total_bytes(to.clients[i]) - total_bytes(from.clients[i])) / seconds;
+      const auto empty_bytes_per_s =
           static_cast<double>(to.clients[i].empty_bytes - from.clients[i].empty_bytes) / seconds;
-      sum += bytes;
-      least = std::min(least, bytes);
-      most = std::max(most, bytes);
-      scaled += (bytes - empty) / settings_.speed + kEmptyLineBytes / (ListSource::kEmptyLineMs / 1'000);
+      sum_bytes_per_s += bytes_per_s;
+      min_bytes_per_s = std::min(min_bytes_per_s, bytes_per_s);
+      max_bytes_per_s = std::max(max_bytes_per_s, bytes_per_s);
+      sum_at_speed_1 += (bytes_per_s - empty_bytes_per_s) / settings_.speed +
+                        kEmptyLineBytes / (ListSource::kEmptyLineMs / 1'000);
     }
     const auto count = static_cast<double>(to.clients.size());
-    return {{"from_s", (from.at - samples_.front().at) / 1'000},
+    return {{"from_s", (from.at_ms - samples_.front().at_ms) / 1'000},
             {"seconds", seconds},
-            {"bytes_per_s", {{"mean", sum / count}, {"least", least}, {"most", most}}},
-            {"mean_bytes_per_s_at_speed_1", scaled / count}};
+            {"bytes_per_s",
+             {{"mean", sum_bytes_per_s / count}, {"least", min_bytes_per_s}, {"most", max_bytes_per_s}}},
+            {"mean_bytes_per_s_at_speed_1", sum_at_speed_1 / count}};
   }
 
   json report() const {
-    json all;
-    all["settings"] = {{"workers", settings_.workers},
-                       {"dispatchers", settings_.dispatchers},
-                       {"seconds", settings_.seconds},
-                       {"speed", settings_.speed},
-                       {"seed", settings_.seed},
-                       {"outage_at_s", settings_.outage_at_s},
-                       {"outage_s", settings_.outage_s},
-                       {"cut_share", settings_.cut_share},
-                       {"work_per_call_ms", settings_.work_per_call_ms},
-                       {"work_per_line_ms", settings_.work_per_line_ms},
-                       {"patience_ms", settings_.patience_ms}};
-    all["measured_s"] = measured_s_;
-    all["first_lists_s"] = first_lists_s_;
-    all["changes"] = changes_;
-    all["windows"] = json::array();
+    json object;
+    object["settings"] = {{"workers", settings_.workers},
+                          {"dispatchers", settings_.dispatchers},
+                          {"seconds", settings_.seconds},
+                          {"speed", settings_.speed},
+                          {"seed", settings_.seed},
+                          {"outage_at_s", settings_.outage_at_s},
+                          {"outage_s", settings_.outage_s},
+                          {"cut_share", settings_.cut_share},
+                          {"work_per_call_ms", settings_.work_per_call_ms},
+                          {"work_per_line_ms", settings_.work_per_line_ms},
+                          {"patience_ms", settings_.patience_ms}};
+    object["measured_s"] = measured_s_;
+    object["first_lists_s"] = first_lists_s_;
+    object["changes"] = change_count_;
+    object["windows"] = json::array();
     for (std::size_t i = 1; i < samples_.size(); ++i)
-      all["windows"].push_back(window(samples_[i - 1], samples_[i]));
-    all["per_dispatcher"] = {{"cpu_ms", cpu_ms_},
-                             {"cpu_ms_per_s", cpu_ms_ / measured_s_},
-                             {"resident_kb", memory_kb_},
-                             {"runtimes", fleet_->runtimes()}};
-    all["lateness_ms"] = {{"told", lateness_.told},
-                          {"untold", lateness_.untold},
-                          {"p50", lateness_.p50_ms},
-                          {"p99", lateness_.p99_ms},
-                          {"max", lateness_.max_ms}};
-    all["calls"] = {{"all", counts_.calls},
-                    {"for_first_lists", calls_at_start_},
-                    {"answered", counts_.answered},
-                    {"refused", counts_.refused},
-                    {"abandoned", counts_.abandoned},
-                    {"wasted_turns", counts_.wasted_turns},
-                    {"by_second", counts_.calls_by_second},
-                    {"failed_by_second", counts_.failed_by_second}};
-    all["sent"] = {{"bytes", counts_.bytes},
-                   {"lines", counts_.lines},
-                   {"entries", counts_.entries},
-                   {"empty_lines", counts_.empty_lines},
-                   {"cut_lines", counts_.cut_lines}};
-    all["findings"] = json::array();
+      object["windows"].push_back(window_report(samples_[i - 1], samples_[i]));
+    object["per_dispatcher"] = {{"cpu_ms", cpu_per_dispatcher_ms_},
+                                {"cpu_ms_per_s", cpu_per_dispatcher_ms_ / measured_s_},
+                                {"resident_kb", memory_per_dispatcher_kb_},
+                                {"runtimes", fleet_->runtime_count()}};
+    object["lateness_ms"] = {{"told", lateness_.delivered},
+                             {"untold", lateness_.undelivered},
+                             {"p50", lateness_.p50_ms},
+                             {"p99", lateness_.p99_ms},
+                             {"max", lateness_.max_ms}};
+    object["calls"] = {{"all", counts_.calls},
+                       {"for_first_lists", calls_at_start_},
+                       {"answered", counts_.answered},
+                       {"refused", counts_.refused},
+                       {"abandoned", counts_.abandoned},
+                       {"wasted_turns", counts_.wasted_turns},
+                       {"by_second", counts_.calls_by_second},
+                       {"failed_by_second", counts_.failed_by_second}};
+    object["sent"] = {{"bytes", counts_.bytes},
+                      {"lines", counts_.lines},
+                      {"entries", counts_.entries},
+                      {"empty_lines", counts_.empty_lines},
+                      {"cut_lines", counts_.cut_lines}};
+    object["findings"] = json::array();
     for (const Finding& finding : findings_)
-      all["findings"].push_back({{"what", finding.what}, {"holds", finding.holds}});
-    return all;
+      object["findings"].push_back({{"what", finding.what}, {"holds", finding.holds}});
+    return object;
   }
 
   const HollowRunSettings settings_;
@@ -260,22 +263,23 @@
   std::vector<Finding> findings_;
   LatenessSummary lateness_;
   ListSourceCounts counts_;
-  std::size_t changes_ = 0;
+  std::size_t change_count_ = 0;
   std::uint64_t calls_at_start_ = 0;
-  bool first_lists_ = false;
+  bool first_lists_in_time_ = false;
   double first_lists_s_ = 0, measured_s_ = 0;
-  double memory_kb_ = 0, cpu_before_ms_ = 0, cpu_ms_ = 0;  // of one dispatcher, but cpu_before_ms_
+  // cpu_before_ms_ is the sum over all dispatchers.
+  double memory_per_dispatcher_kb_ = 0, cpu_before_ms_ = 0, cpu_per_dispatcher_ms_ = 0;
 };
 
 }  // namespace
 
-bool HollowRunResult::good() const {
+bool HollowRunResult::passed() const {
   return std::all_of(findings.begin(), findings.end(), [](const Finding& finding) { return finding.holds; });
 }
 
 HollowRunResult run_hollow(const HollowRunSettings& settings) {
-  core::set_log_sink([](std::string_view) {});  // hundreds of dispatchers, each with a line for each change
-  HollowRunResult result = Run(settings).play();
+  core::set_log_sink([](std::string_view) {});  // hundreds of dispatchers would each log every change
+  HollowRunResult result = HollowRun(settings).run();
   core::set_log_sink(nullptr);
   return result;
 }
--- a/src/lab/hollow/list_source.cpp
+++ b/src/lab/hollow/list_source.cpp
@@ -18,52 +18,52 @@
 
 namespace {
 
-constexpr double kCpuSampleMs = 200;
-constexpr std::size_t kMostRequest = 8 * 1024;
-constexpr std::int64_t kWholeList = -1;  // key of a line that goes on from no version
-constexpr std::string_view kSince = "since=";
+constexpr double kCpuSampleIntervalMs = 200;
+constexpr std::size_t kMaxRequestBytes = 8 * 1024;
+constexpr std::int64_t kCompleteListKey = -1;  // cache key of the complete list
+constexpr std::string_view kSinceParameter = "since=";
 constexpr std::string_view kAnswerHead =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 constexpr std::string_view kRefusal =
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 constexpr std::string_view kEmptyLine = "1\r\n\n\r\n";
 
-std::string chunk_of(const std::string& line) {
+std::string make_chunk(const std::string& line) {
   char size[20];
   std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
   return size + line + "\n\r\n";
 }
 
-// 0 where the request names none.
-std::int64_t since_of(std::string_view request) {
-  const std::size_t at = request.find(kSince);
+// The version that the request asks to continue from; 0 if it names none.
+std::int64_t parse_since(std::string_view request) {
+  const std::size_t at = request.find(kSinceParameter);
   std::int64_t since = 0;
   if (at == std::string_view::npos) return since;
-  const std::string_view digits = request.substr(at + kSince.size());
+  const std::string_view digits = request.substr(at + kSinceParameter.size());
   std::from_chars(digits.data(), digits.data() + digits.size(), since);
   return since;
 }
 
 double thread_cpu_ms() {
-  timespec taken{};
-  ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &taken);
-  return static_cast<double>(taken.tv_sec) * 1e3 + static_cast<double>(taken.tv_nsec) / 1e6;
+  timespec cpu_time{};
+  ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &cpu_time);
+  return static_cast<double>(cpu_time.tv_sec) * 1e3 + static_cast<double>(cpu_time.tv_nsec) / 1e6;
 }
 
-void add_one(std::vector<int>& by_second, std::size_t second) {
-  if (by_second.size() <= second) by_second.resize(second + 1);
-  by_second[second] += 1;
+void count_in_second(std::vector<int>& by_second, std::size_t index) {
+  if (by_second.size() <= index) by_second.resize(index + 1);
+  by_second[index] += 1;
 }
 
 }  // namespace
 
-// The address of one client.
+// Listener on the address of one client.
 struct ListSource::Listener : park::Guest {
   Listener(ListSource& at, std::size_t of, net::Socket from)
       : source(at), client(of), socket(std::move(from)) {}
   void ready(park::Signs) override {
     const std::lock_guard lock(source.mutex_);
-    source.accept_all(*this);
+    source.accept_pending(*this);
   }
   void late() override {}
 
@@ -72,7 +72,7 @@
   net::Socket socket;
 };
 
-// One call, and the watch that it may become.
+// One call, and the watch that it becomes once answered.
 struct ListSource::Connection : park::Guest {
   enum class State { reading, waiting, watching, closing };
 
@@ -82,7 +82,7 @@
     const std::lock_guard lock(source.mutex_);
     if (!source.connections_.contains(id)) return;
     if (signs.writable) source.flush(*this);
-    if (signs.readable || signs.closed) source.read(*this);
+    if (signs.readable || signs.closed) source.read_available(*this);
   }
   void late() override {
     const std::lock_guard lock(source.mutex_);
@@ -93,24 +93,24 @@
   const std::size_t client;
   const CallQueue::CallId id;
   net::Socket socket;
-  park::Park::Token place = park::Park::kNone;
+  park::Park::Token token = park::Park::kNone;
   State state = State::reading;
   std::string request;
-  std::int64_t since = 0;         // what the client said that it knows
-  std::int64_t sent_version = 0;  // what it knows once all of `out` is sent
-  double last_line_at = 0;
-  std::deque<Piece> out;
-  std::size_t out_offset = 0;  // of the first piece, bytes that are sent
+  std::int64_t since = 0;         // the version that the client said it has
+  std::int64_t sent_version = 0;  // the version it has once all of `output` is sent
+  double last_line_at_ms = 0;
+  std::deque<OutputItem> output;
+  std::size_t output_offset = 0;  // bytes of the first item that were sent
 };
 
-// Endings of calls, and outages.
+// Handles timed events: outcomes of calls, and outages.
 struct ListSource::Timer : park::Guest {
   explicit Timer(ListSource& of) : source(of) {}
   void ready(park::Signs) override { late(); }
   void late() override {
     const std::lock_guard lock(source.mutex_);
-    source.advance();
-    source.publish();
+    source.process_due_events();
+    source.publish_changes();
     source.cpu_ms_.store(thread_cpu_ms());
   }
 
@@ -120,13 +120,13 @@
 ListSource::ListSource(ListSourceSettings settings, const core::Clock& clock)
     : settings_(std::move(settings)),
       clock_(clock),
-      started_(clock.now()),
-      list_(settings_.kept_versions),
+      started_at_ms_(clock.now()),
+      list_(settings_.history_limit),
       queue_(settings_.calls),
       timer_(std::make_shared<Timer>(*this)),
-      park_(clock) {
-  timer_place_ = park_.enter(timer_, -1);
-  park_.poke(timer_place_, {});
+      event_loop_(clock) {
+  timer_token_ = event_loop_.enter(timer_, -1);
+  event_loop_.poke(timer_token_, {});
 }
 
 ListSource::~ListSource() = default;
@@ -138,7 +138,7 @@
   const std::size_t number = clients_.size();
   const auto listener = std::make_shared<Listener>(*this, number, std::move(socket));
   clients_.push_back({listener, {}, 0});
-  park_.enter(listener, listener->socket.fd());
+  event_loop_.enter(listener, listener->socket.fd());
   return number;
 }
 
@@ -147,22 +147,22 @@
   return "127.0.0.1:" + std::to_string(clients_.at(client).listener->socket.port());
 }
 
-void ListSource::begin_client(std::size_t client, std::int64_t known_version) {
+void ListSource::start_client(std::size_t client, std::int64_t known_version) {
   const std::lock_guard lock(mutex_);
-  lateness_.begin_client(client, known_version, std::max(clock_.now(), down_until_));
+  lateness_.start_client(client, known_version, std::max(clock_.now(), outage_until_ms_));
 }
 
-void ListSource::end_client(std::size_t client) {
+void ListSource::stop_client(std::size_t client) {
   const std::lock_guard lock(mutex_);
-  lateness_.end_client(client);
+  lateness_.stop_client(client);
   close_watches([client](const Connection& connection) { return connection.client == client; });
 }
 
 std::int64_t ListSource::set(const core::Host& host) {
   const std::lock_guard lock(mutex_);
   const std::int64_t version = list_.set(host);
-  lateness_.add_change(std::max(clock_.now(), down_until_));
-  park_.poke(timer_place_, {});
+  lateness_.add_change(std::max(clock_.now(), outage_until_ms_));
+  event_loop_.poke(timer_token_, {});
   return version;
 }
 
@@ -171,27 +171,27 @@
   return list_.snapshot();
 }
 
-void ListSource::fail_for(double length_ms) {
+void ListSource::start_outage(double length_ms) {
   const std::lock_guard lock(mutex_);
-  go_down(clock_.now(), length_ms);
-  park_.poke(timer_place_, {});
+  begin_outage(clock_.now(), length_ms);
+  event_loop_.poke(timer_token_, {});
 }
 
 bool ListSource::is_up() const {
   const std::lock_guard lock(mutex_);
-  return clock_.now() >= down_until_;
+  return clock_.now() >= outage_until_ms_;
 }
 
-double ListSource::returned_at() const {
+double ListSource::recovered_at() const {
   const std::lock_guard lock(mutex_);
-  return std::max(returned_at_, down_until_);
+  return std::max(recovered_at_ms_, outage_until_ms_);
 }
 
 std::size_t ListSource::open_watches() const {
   const std::lock_guard lock(mutex_);
   return static_cast<std::size_t>(
       std::count_if(connections_.begin(), connections_.end(),
-                    [](const auto& one) { return one.second->state == Connection::State::watching; }));
+                    [](const auto& entry) { return entry.second->state == Connection::State::watching; }));
 }
 
 ListSourceCounts ListSource::counts() const {
@@ -211,16 +211,16 @@
   return lateness_.summary();
 }
 
-void ListSource::forget_lateness() {
+void ListSource::reset_lateness() {
   const std::lock_guard lock(mutex_);
-  lateness_.forget_told();
+  lateness_.clear_deliveries();
 }
 
-std::size_t ListSource::second() const {
-  return static_cast<std::size_t>(std::max(0.0, clock_.now() - started_) / 1'000);
+std::size_t ListSource::elapsed_seconds() const {
+  return static_cast<std::size_t>(std::max(0.0, clock_.now() - started_at_ms_) / 1'000);
 }
 
-void ListSource::accept_all(Listener& listener) {
+void ListSource::accept_pending(Listener& listener) {
   for (;;) {
     net::Socket socket{net::Fd(::accept4(listener.socket.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
     if (!socket) return;
@@ -228,23 +228,23 @@
     const CallQueue::CallId id = next_id_++;
     const auto connection = std::make_shared<Connection>(*this, listener.client, id, std::move(socket));
     connections_.emplace(id, connection);
-    connection->place = park_.enter(connection, connection->socket.fd());
+    connection->token = event_loop_.enter(connection, connection->socket.fd());
   }
 }
 
-// All that has come; a client says nothing after its request but that it leaves.
-void ListSource::read(Connection& connection) {
+// Reads all available bytes. After its request a client sends nothing more: end of stream is its disconnect.
+void ListSource::read_available(Connection& connection) {
   std::array<char, 2'048> bytes{};
   for (;;) {
-    std::size_t got = 0;
-    const net::Io io = connection.socket.receive(bytes.data(), bytes.size(), got);
+    std::size_t received_bytes = 0;
+    const net::Io io = connection.socket.receive(bytes.data(), bytes.size(), received_bytes);
     if (io == net::Io::late) return;
     if (io != net::Io::done) break;
-    clients_[connection.client].traffic.request_bytes += got;
+    clients_[connection.client].traffic.request_bytes += received_bytes;
     if (connection.state != Connection::State::reading) continue;
-    connection.request.append(bytes.data(), got);
-    if (connection.request.find("\r\n\r\n") != std::string::npos) take_request(connection);
-    if (connection.request.size() > kMostRequest) break;
+    connection.request.append(bytes.data(), received_bytes);
+    if (connection.request.find("\r\n\r\n") != std::string::npos) enqueue_request(connection);
+    if (connection.request.size() > kMaxRequestBytes) break;
   }
   if (connection.state == Connection::State::waiting) {
     queue_.abandon(connection.id);
@@ -254,36 +254,36 @@
   close(connection.id);
 }
 
-void ListSource::take_request(Connection& connection) {
-  connection.since = since_of(connection.request);
+void ListSource::enqueue_request(Connection& connection) {
+  connection.since = parse_since(connection.request);
   connection.request = {};
   connection.state = Connection::State::waiting;
   counts_.calls += 1;
-  add_one(counts_.calls_by_second, second());
-  advance();
-  queue_.arrive(connection.id, clock_.now(),
-                [this, since = connection.since] { return list_.entries_since(since); });
-  park_.poke(timer_place_, {});
+  count_in_second(counts_.calls_by_second, elapsed_seconds());
+  process_due_events();
+  queue_.add_call(connection.id, clock_.now(),
+                  [this, since = connection.since] { return list_.entries_since(since); });
+  event_loop_.poke(timer_token_, {});
 }
 
-void ListSource::answer(Connection& connection) {
+void ListSource::send_answer(Connection& connection) {
   counts_.answered += 1;
   connection.state = Connection::State::watching;
-  connection.out.push_back({std::make_shared<const std::string>(kAnswerHead), 0, false});
+  connection.output.push_back({std::make_shared<const std::string>(kAnswerHead), 0, false});
   send_line_since(connection, connection.since);
 }
 
-void ListSource::refuse(Connection& connection) {
+void ListSource::send_refusal(Connection& connection) {
   counts_.refused += 1;
   count_failed();
   connection.state = Connection::State::closing;
-  connection.out.push_back({std::make_shared<const std::string>(kRefusal), 0, false});
+  connection.output.push_back({std::make_shared<const std::string>(kRefusal), 0, false});
   flush(connection);
 }
 
-void ListSource::count_failed() { add_one(counts_.failed_by_second, second()); }
+void ListSource::count_failed() { count_in_second(counts_.failed_by_second, elapsed_seconds()); }
 
-// One in so many, by client and line: the same lines are cut whatever else happens.
+// Decides by seed, client and line number, so that the same lines are cut whatever else happens.
 bool ListSource::is_cut(std::size_t client) {
   const int line = clients_[client].lines++;
   const std::string name = std::to_string(settings_.seed) + ' ' + std::to_string(client);
@@ -291,12 +291,12 @@
 }
 
 std::shared_ptr<const std::string> ListSource::chunk_since(std::int64_t version, std::size_t& entries) {
-  if (rendered_version_ != list_.version()) rendered_.clear();
-  rendered_version_ = list_.version();
-  auto& [chunk, count] = rendered_[list_.covers(version) ? version : kWholeList];
+  if (chunk_cache_version_ != list_.version()) chunk_cache_.clear();
+  chunk_cache_version_ = list_.version();
+  auto& [chunk, count] = chunk_cache_[list_.covers(version) ? version : kCompleteListKey];
   if (!chunk) {
     const ListLine line = list_.line_since(version);
-    chunk = std::make_shared<const std::string>(chunk_of(line.text));
+    chunk = std::make_shared<const std::string>(make_chunk(line.text));
     count = line.entries;
   }
   entries = count;
@@ -306,51 +306,51 @@
 void ListSource::send_line_since(Connection& connection, std::int64_t version) {
   std::size_t entries = 0;
   const std::shared_ptr<const std::string> chunk = chunk_since(version, entries);
-  connection.last_line_at = clock_.now();
+  connection.last_line_at_ms = clock_.now();
   connection.sent_version = list_.version();
   if (is_cut(connection.client)) {
     counts_.cut_lines += 1;
     connection.state = Connection::State::closing;
-    connection.out.push_back(
+    connection.output.push_back(
         {std::make_shared<const std::string>(chunk->substr(0, chunk->size() / 2)), 0, false});
   } else {
     counts_.lines += 1;
     counts_.entries += entries;
-    connection.out.push_back({chunk, list_.version(), false});
-    park_.wake_at(connection.place, connection.last_line_at + kEmptyLineMs);
+    connection.output.push_back({chunk, list_.version(), false});
+    event_loop_.wake_at(connection.token, connection.last_line_at_ms + kEmptyLineMs);
   }
   flush(connection);
 }
 
 void ListSource::send_empty_line(Connection& connection) {
   if (connection.state != Connection::State::watching) return;
-  const double due = connection.last_line_at + kEmptyLineMs;
-  if (clock_.now() < due) return park_.wake_at(connection.place, due);
-  connection.last_line_at = clock_.now();
-  park_.wake_at(connection.place, connection.last_line_at + kEmptyLineMs);
-  if (!connection.out.empty()) return;  // it has not read what was sent before
+  const double due_ms = connection.last_line_at_ms + kEmptyLineMs;
+  if (clock_.now() < due_ms) return event_loop_.wake_at(connection.token, due_ms);
+  connection.last_line_at_ms = clock_.now();
+  event_loop_.wake_at(connection.token, connection.last_line_at_ms + kEmptyLineMs);
+  if (!connection.output.empty()) return;  // the client has not read the previous output
   static const auto text = std::make_shared<const std::string>(kEmptyLine);
   counts_.empty_lines += 1;
-  connection.out.push_back({text, 0, true});
+  connection.output.push_back({text, 0, true});
   flush(connection);
 }
 
-// As much as the kernel takes. A watch that has been sent all goes on with what has changed meanwhile.
+// Sends as much as the kernel accepts. A watch whose output is all sent gets the changes made meanwhile.
 void ListSource::flush(Connection& connection) {
-  while (!connection.out.empty()) {
-    const Piece& piece = connection.out.front();
-    const std::string_view left = std::string_view(*piece.text).substr(connection.out_offset);
-    const std::size_t sent = connection.socket.send_some({left});
+  while (!connection.output.empty()) {
+    const OutputItem& item = connection.output.front();
+    const std::string_view unsent = std::string_view(*item.text).substr(connection.output_offset);
+    const std::size_t sent = connection.socket.send_some({unsent});
     ClientTraffic& traffic = clients_[connection.client].traffic;
-    (piece.is_empty_line ? traffic.empty_bytes : traffic.list_bytes) += sent;
+    (item.is_empty_line ? traffic.empty_bytes : traffic.list_bytes) += sent;
     counts_.bytes += sent;
-    if (sent < left.size()) {
-      connection.out_offset += sent;
+    if (sent < unsent.size()) {
+      connection.output_offset += sent;
       return;
     }
-    connection.out_offset = 0;
-    if (piece.version > 0) lateness_.add_told(connection.client, piece.version, clock_.now());
-    connection.out.pop_front();
+    connection.output_offset = 0;
+    if (item.version > 0) lateness_.add_delivery(connection.client, item.version, clock_.now());
+    connection.output.pop_front();
   }
   if (connection.state == Connection::State::closing) return close(connection.id);
   if (connection.state == Connection::State::watching && connection.sent_version < list_.version())
@@ -360,13 +360,13 @@
 void ListSource::close(CallQueue::CallId id) {
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
-  park_.leave(found->second->place);
+  event_loop_.leave(found->second->token);
   connections_.erase(found);
 }
 
-void ListSource::go_down(double at, double length_ms) {
-  end_calls(at);
-  down_until_ = at + length_ms;
+void ListSource::begin_outage(double start_ms, double length_ms) {
+  complete_calls(start_ms);
+  outage_until_ms_ = start_ms + length_ms;
   queue_.set_available(false);
   close_watches([](const Connection&) { return true; });
 }
@@ -378,47 +378,47 @@
   for (const CallQueue::CallId id : watches) close(id);
 }
 
-void ListSource::end_calls(double until) {
-  for (const CallQueue::Ended& ended : queue_.advance(until)) {
-    const auto found = connections_.find(ended.call);
+void ListSource::complete_calls(double until_ms) {
+  for (const CallQueue::CompletedCall& completed : queue_.advance(until_ms)) {
+    const auto found = connections_.find(completed.call);
     if (found == connections_.end()) continue;
     const std::shared_ptr<Connection> connection = found->second;
-    if (ended.ending == CallQueue::Ending::answered)
-      answer(*connection);
+    if (completed.outcome == CallQueue::Outcome::answered)
+      send_answer(*connection);
     else
-      refuse(*connection);
+      send_refusal(*connection);
   }
 }
 
-// Outages and endings of calls that are due by now, in the order of their times.
-void ListSource::advance() {
+// Processes outages and call outcomes that are due by now, in order of time.
+void ListSource::process_due_events() {
   const double now = clock_.now();
   if (next_outage_ < settings_.outages.size()) {
     const Outage& outage = settings_.outages[next_outage_];
-    if (started_ + outage.start_ms <= now) {
+    if (started_at_ms_ + outage.start_ms <= now) {
       next_outage_ += 1;
-      go_down(started_ + outage.start_ms, outage.length_ms);
+      begin_outage(started_at_ms_ + outage.start_ms, outage.length_ms);
     }
   }
-  if (down_until_ > 0 && now >= down_until_) {
-    end_calls(down_until_);
-    returned_at_ = std::exchange(down_until_, 0);
+  if (outage_until_ms_ > 0 && now >= outage_until_ms_) {
+    complete_calls(outage_until_ms_);
+    recovered_at_ms_ = std::exchange(outage_until_ms_, 0);
     queue_.set_available(true);
   }
-  end_calls(now);
-  double next = std::min(now + kCpuSampleMs, queue_.next_due());
+  complete_calls(now);
+  double next_ms = std::min(now + kCpuSampleIntervalMs, queue_.next_due());
   if (next_outage_ < settings_.outages.size())
-    next = std::min(next, started_ + settings_.outages[next_outage_].start_ms);
-  if (down_until_ > 0) next = std::min(next, down_until_);
-  park_.wake_at(timer_place_, next);
+    next_ms = std::min(next_ms, started_at_ms_ + settings_.outages[next_outage_].start_ms);
+  if (outage_until_ms_ > 0) next_ms = std::min(next_ms, outage_until_ms_);
+  event_loop_.wake_at(timer_token_, next_ms);
 }
 
-// To all watches that are behind and have been sent all before; the others go on once they have.
-void ListSource::publish() {
-  if (std::exchange(published_, list_.version()) == list_.version()) return;
+// Sends new changes to all watches without pending output; flush() continues the others once theirs is sent.
+void ListSource::publish_changes() {
+  if (std::exchange(published_version_, list_.version()) == list_.version()) return;
   std::vector<std::shared_ptr<Connection>> watches;
   for (const auto& [id, connection] : connections_)
-    if (connection->state == Connection::State::watching && connection->out.empty())
+    if (connection->state == Connection::State::watching && connection->output.empty())
       watches.push_back(connection);
   for (const auto& connection : watches)
     if (connection->sent_version < list_.version()) send_line_since(*connection, connection->sent_version);
--- a/src/lab/hollow/versioned_list.cpp
+++ b/src/lab/hollow/versioned_list.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-const char* health_of(WorkerState state) {
+const char* health_name(WorkerState state) {
   switch (state) {
     case WorkerState::ready:
       return "Ready";
@@ -24,15 +24,15 @@
   return "Gone";
 }
 
-std::string entry_text(const core::Host& host) {
-  const woadtide::ListEntry& entry = host.entry;
+std::string entry_json(const core::Host& endpoint) {
+  const woadtide::ListEntry& entry = endpoint.entry;
   nlohmann::ordered_json object;
   object["host"] = entry.worker;
-  object["dial"] = host.dial;
+  object["dial"] = endpoint.dial;
   object["site"] = entry.zone;
   object["class"] = entry.kind;
   object["block"] = entry.cell;
-  object["health"] = health_of(entry.state);
+  object["health"] = health_name(entry.state);
   object["share"] = entry.weight;
   object["born_ms"] = entry.started ? static_cast<std::int64_t>(core::to_ms(*entry.started)) : 0;
   return object.dump();
@@ -40,26 +40,27 @@
 
 }  // namespace
 
-std::int64_t VersionedList::set(const core::Host& host) {
-  const std::string& worker = host.entry.worker;
-  const auto before = entries_.find(worker);
-  const bool was_listed = before != entries_.end() && before->second.host.entry.state != WorkerState::gone;
-  const bool is_listed = host.entry.state != WorkerState::gone;
-  if (is_listed && !was_listed) listed_ += 1;
-  if (was_listed && !is_listed) listed_ -= 1;
+std::int64_t VersionedList::set(const core::Host& endpoint) {
+  const std::string& worker = endpoint.entry.worker;
+  const auto previous = entries_.find(worker);
+  const bool was_listed =
+      previous != entries_.end() && previous->second.endpoint.entry.state != WorkerState::gone;
+  const bool is_listed = endpoint.entry.state != WorkerState::gone;
+  if (is_listed && !was_listed) listed_count_ += 1;
+  if (was_listed && !is_listed) listed_count_ -= 1;
   version_ += 1;
-  entries_.insert_or_assign(worker, Entry{host, entry_text(host), version_});
+  entries_.insert_or_assign(worker, Entry{endpoint, entry_json(endpoint), version_});
   history_.push_back({version_, worker});
-  while (history_.size() > kept_versions_) forget_oldest_change();
+  while (history_.size() > history_limit_) discard_oldest_change();
   return version_;
 }
 
-void VersionedList::forget_oldest_change() {
+void VersionedList::discard_oldest_change() {
   const Change oldest = std::move(history_.front());
   history_.pop_front();
   const auto found = entries_.find(oldest.worker);
   if (found == entries_.end() || found->second.changed_at != oldest.version) return;
-  if (found->second.host.entry.state == WorkerState::gone) entries_.erase(found);
+  if (found->second.endpoint.entry.state == WorkerState::gone) entries_.erase(found);
 }
 
 bool VersionedList::covers(std::int64_t version) const {
@@ -68,7 +69,7 @@
 }
 
 std::size_t VersionedList::entries_since(std::int64_t version) const {
-  if (!covers(version)) return listed_;
+  if (!covers(version)) return listed_count_;
   std::size_t entries = 0;
   const auto missed = static_cast<std::size_t>(version_ - version);
   for (std::size_t i = history_.size() - missed; i < history_.size(); ++i)
@@ -77,18 +78,18 @@
 }
 
 ListLine VersionedList::line_since(std::int64_t version) const {
-  const bool whole = !covers(version);
-  ListLine line{version_, 0, whole, {}};
+  const bool complete = !covers(version);
+  ListLine line{version_, 0, complete, {}};
   line.text =
-      "{\"seq\":" + std::to_string(version_) + ",\"whole\":" + (whole ? "true" : "false") + ",\"hosts\":[";
+      "{\"seq\":" + std::to_string(version_) + ",\"whole\":" + (complete ? "true" : "false") + ",\"hosts\":[";
   const auto add = [&line](const Entry& entry) {
     if (line.entries > 0) line.text += ',';
     line.text += entry.text;
     line.entries += 1;
   };
-  if (whole) {
+  if (complete) {
     for (const auto& [worker, entry] : entries_)
-      if (entry.host.entry.state != WorkerState::gone) add(entry);
+      if (entry.endpoint.entry.state != WorkerState::gone) add(entry);
   } else {
     const auto missed = static_cast<std::size_t>(version_ - version);
     for (std::size_t i = history_.size() - missed; i < history_.size(); ++i) {
@@ -103,7 +104,7 @@
 core::HostList VersionedList::snapshot() const {
   core::HostList list{version_, true, {}};
   for (const auto& [worker, entry] : entries_)
-    if (entry.host.entry.state != WorkerState::gone) list.hosts.push_back(entry.host);
+    if (entry.endpoint.entry.state != WorkerState::gone) list.hosts.push_back(entry.endpoint);
   return list;
 }
 
--- a/src/lab/hollow/versioned_list.hpp
+++ b/src/lab/hollow/versioned_list.hpp
@@ -1,5 +1,5 @@
-// The list of workers that a service discovery holds, with a bounded history of its changes, written in the
-// form that dispatchers read. Knows no sockets and no time.
+// The endpoint list of a service discovery with a bounded history of changes, serialised in the form that
+// dispatchers read. Uses no sockets and no clock.
 #pragma once
 
 #include <cstddef>
@@ -12,51 +12,53 @@
 
 namespace woadtide::lab::hollow {
 
-// One JSON line of the list, without its line end.
+// One JSON line of the list, without the line terminator.
 struct ListLine {
   std::int64_t version = 0;
   std::size_t entries = 0;
-  bool whole = false;
+  bool complete = false;
   std::string text;
 };
 
+// Workers by name, with the version of their last change.
 class VersionedList {
  public:
-  // A client that is behind by more than `kept_versions` changes is sent the whole list.
-  explicit VersionedList(std::size_t kept_versions) : kept_versions_(kept_versions) {}
+  // A client that is behind by more than `history_limit` changes is sent the complete list.
+  explicit VersionedList(std::size_t history_limit) : history_limit_(history_limit) {}
 
-  // Adds the worker, or replaces its entry; WorkerState::gone takes it off the list. Returns the new version.
-  std::int64_t set(const core::Host& host);
+  // Adds or replaces the worker's entry; WorkerState::gone removes it. Returns the new version.
+  std::int64_t set(const core::Host& endpoint);
   std::int64_t version() const { return version_; }
-  std::size_t size() const { return listed_; }
+  // Number of listed workers.
+  std::size_t size() const { return listed_count_; }
 
-  // Whether the history reaches back to this version: what has changed since can be told apart.
+  // Whether the history reaches back to `version`, so that the changes since then are known.
   bool covers(std::int64_t version) const;
-  // How many entries line_since() writes.
+  // Number of entries that line_since() writes.
   std::size_t entries_since(std::int64_t version) const;
-  // What has changed since `version`, the newest state of each worker in the order of changes; the whole list
-  // where the history does not reach back that far, or `version` is ahead of this list.
+  // The changes since `version`: the newest state of each worker, in order of change. The complete list if
+  // the history does not reach back that far, or `version` is newer than this list.
   ListLine line_since(std::int64_t version) const;
-  // The whole list as it stands, as a dispatcher remembers it.
+  // The current complete list, in the form in which a dispatcher remembers it.
   core::HostList snapshot() const;
 
  private:
   struct Entry {
-    core::Host host;
+    core::Host endpoint;
     std::string text;
-    std::int64_t changed_at = 0;  // the version that wrote it
+    std::int64_t changed_at = 0;  // version of its last change
   };
   struct Change {
     std::int64_t version = 0;
     std::string worker;
   };
-  void forget_oldest_change();
+  void discard_oldest_change();
 
-  const std::size_t kept_versions_;
+  const std::size_t history_limit_;
   std::int64_t version_ = 0;
-  std::size_t listed_ = 0;
-  std::map<std::string, Entry> entries_;  // workers that are gone too, while the history names them
-  std::deque<Change> history_;            // by version, without gaps
+  std::size_t listed_count_ = 0;
+  std::map<std::string, Entry> entries_;  // includes removed workers for as long as the history names them
+  std::deque<Change> history_;            // ordered by version, without gaps
 };
 
 }  // namespace woadtide::lab::hollow
--- a/tests/fault_shim.cpp
+++ b/tests/fault_shim.cpp
@@ -6,8 +6,7 @@
 //   "fails" is interrupted or transfers fewer bytes than requested.
 // - broken: probability that a read of a connection opened by this process fails with a connection error.
 // - seed: seed of all random decisions.
-// - wall=AT:STEP: from AT ms after the first reading of the wall clock, it is off by STEP ms. May be
-// repeated.
+// - wall=AT:STEP: from AT ms after the first reading of the wall clock, it is off by STEP ms. Repeatable.
 #include <dlfcn.h>
 #include <poll.h>
 #include <sys/epoll.h>
