--- a/src/lab/hollow/fleet_day.cpp
+++ b/src/lab/hollow/fleet_day.cpp
@@ -86,7 +86,7 @@
 
 }  // namespace
 
-std::vector<FleetChange> draw_day(const FleetDaySettings& settings) {
+std::vector<FleetChange> generate_day(const FleetDaySettings& settings) {
   return DayGenerator(settings).generate();
 }
 
--- a/src/lab/hollow/fleet_day.hpp
+++ b/src/lab/hollow/fleet_day.hpp
@@ -33,6 +33,6 @@
 };
 
 // Returns the day's changes, ordered by time.
-std::vector<FleetChange> draw_day(const FleetDaySettings& settings);
+std::vector<FleetChange> generate_day(const FleetDaySettings& settings);
 
 }  // namespace woadtide::lab::hollow
--- a/src/lab/hollow/hollow_run.cpp
+++ b/src/lab/hollow/hollow_run.cpp
@@ -120,7 +120,7 @@
     day.speed = settings_.speed;
     day.seed = settings_.seed;
     day.start_ms = clock_.now();
-    const std::vector<FleetChange> changes = draw_day(day);
+    const std::vector<FleetChange> changes = generate_day(day);
     const double end_ms = day.start_ms + settings_.seconds * 1'000;
     const double outage_at_ms = day.start_ms + settings_.outage_at_s * 1'000;
     bool outage_is_due = settings_.outage_s > 0;
--- a/src/lab/soak/command.cpp
+++ b/src/lab/soak/command.cpp
@@ -44,7 +44,7 @@
     const std::uint64_t seed = first + static_cast<std::uint64_t>(i);
     const SoakPlan plan = draw_plan(seed);
     settings.folder = folder + '/' + std::to_string(seed);
-    const RunResult result = run(plan, settings);
+    const RunResult result = run_soak(plan, settings);
     requests += result.verdict.requests;
     attempts += result.verdict.attempts;
     std::cout << (result.verdict.passed() ? "good" : "BAD ") << " seed " << seed << ": "
@@ -67,7 +67,7 @@
   int failed_runs = 0, row_number = 0;
   for (const char* faults : kFaultRows) {
     settings.folder = folder + "/row" + std::to_string(++row_number);
-    const RunResult result = run(make_fault_plan(faults), settings);
+    const RunResult result = run_soak(make_fault_plan(faults), settings);
     std::cout << (result.verdict.passed() ? "good " : "BAD  ") << faults << ": " << result.verdict.summary()
               << ", log lines " << result.log_lines << ", workers backed off " << result.backed_off_lines
               << ", end in " << static_cast<int>(result.shutdown_ms) << " ms\n";
--- a/src/lab/soak/plan.hpp
+++ b/src/lab/soak/plan.hpp
@@ -9,9 +9,9 @@
 
 // Something that happens at a planned time during the load.
 enum class EventKind {
-  drain,        // `worker` starts to drain and does not come back
-  hang_begins,  // `worker` accepts requests and answers none
-  hang_ends,
+  drain,                // `worker` starts to drain and does not come back
+  hang_begins,          // `worker` accepts requests and answers none
+  hang_ends,            // `worker` answers new requests again
   discovery_down,       // discovery refuses calls and closes open watches
   discovery_slow,       // discovery takes seconds to answer a call
   discovery_recovered,  // discovery answers again
--- a/src/lab/soak/run.cpp
+++ b/src/lab/soak/run.cpp
@@ -286,6 +286,8 @@
 
 }  // namespace
 
-RunResult run(const SoakPlan& plan, const RunSettings& settings) { return SoakRun(plan, settings).run(); }
+RunResult run_soak(const SoakPlan& plan, const RunSettings& settings) {
+  return SoakRun(plan, settings).run();
+}
 
 }  // namespace woadtide::lab::soak
--- a/src/lab/soak/run.hpp
+++ b/src/lab/soak/run.hpp
@@ -26,6 +26,6 @@
 };
 
 // Executes the plan. Throws std::runtime_error if the dispatcher does not become ready.
-RunResult run(const SoakPlan& plan, const RunSettings& settings);
+RunResult run_soak(const SoakPlan& plan, const RunSettings& settings);
 
 }  // namespace woadtide::lab::soak
--- a/tests/hollow_test.cpp
+++ b/tests/hollow_test.cpp
@@ -126,9 +126,9 @@
 TEST_CASE("a call that waits too long is refused and still uses its turn") {
   CallQueue queue({.work_per_call_ms = 40, .work_per_line_ms = 0, .patience_ms = 100});
   for (CallQueue::CallId call = 1; call <= 4; ++call) queue.add_call(call, 0, kNoLines);
-  const auto ended = queue.advance(100);
-  CHECK(calls_of(ended, CallQueue::Outcome::answered) == CallIds{1, 2});
-  CHECK(calls_of(ended, CallQueue::Outcome::refused) == CallIds{3, 4});
+  const auto completed = queue.advance(100);
+  CHECK(calls_of(completed, CallQueue::Outcome::answered) == CallIds{1, 2});
+  CHECK(calls_of(completed, CallQueue::Outcome::refused) == CallIds{3, 4});
   queue.add_call(5, 100, kNoLines);
   CHECK(queue.advance(199).empty());  // the turns of 3 and 4 last until 160
   CHECK(calls_of(queue.advance(200), CallQueue::Outcome::answered) == CallIds{5});
@@ -140,8 +140,9 @@
     CallQueue queue({.work_per_call_ms = 40, .patience_ms = 1'000, .skips_abandoned = notices_disconnect});
     for (CallQueue::CallId call = 1; call <= 3; ++call) queue.add_call(call, 0, kNoLines);
     queue.abandon(2);
-    const auto ended = queue.advance(80);
-    CHECK(calls_of(ended, CallQueue::Outcome::answered) == (notices_disconnect ? CallIds{1, 3} : CallIds{1}));
+    const auto completed = queue.advance(80);
+    CHECK(calls_of(completed, CallQueue::Outcome::answered) ==
+          (notices_disconnect ? CallIds{1, 3} : CallIds{1}));
     queue.advance(120);
     CHECK(queue.wasted_turns() == (notices_disconnect ? 0 : 1));
   }
@@ -446,7 +447,7 @@
 
 TEST_CASE("a generated day is the same for the same seed, ordered, and leaves every worker on the list") {
   const FleetDaySettings settings{.workers = 320, .speed = 100, .seed = 9, .start_ms = 1e12};
-  const std::vector<FleetChange> day = draw_day(settings), repeated_day = draw_day(settings);
+  const std::vector<FleetChange> day = generate_day(settings), repeated_day = generate_day(settings);
   REQUIRE(day.size() == repeated_day.size());
   const std::size_t zone = 320 / 3 + 1;
   // Failures, restarts, a rack, a zone and weight changes; a zone may have one worker less.
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -31,7 +31,7 @@
 
 RunResult run_plan(const SoakPlan& plan) {
   const Folder folder;
-  return run(plan, {WOADTIDE_PROGRAM, WOADTIDE_SHIM, folder.path.string()});
+  return run_soak(plan, {WOADTIDE_PROGRAM, WOADTIDE_SHIM, folder.path.string()});
 }
 
 void run_with_faults(const std::string& faults) {
