--- a/src/lab/cluster/arena.hpp
+++ b/src/lab/cluster/arena.hpp
@@ -1,5 +1,5 @@
-// A run: starts all processes, wires them through relays, strikes by the schedule, ends them, and has the
-// files judged.
+// Test cluster: starts all processes of a run, connects them through relays, injects faults by the schedule,
+// stops the processes and checks the files that they wrote.
 #pragma once
 
 #include <cstdint>
@@ -11,21 +11,24 @@
 
 namespace woadtide::lab::cluster {
 
+// Programs, files and seed of one run.
 struct RunSettings {
-  std::string dispatcher;   // the program under test
-  std::string self;         // the laboratory, for the other processes
-  std::string folder;       // for all files; kept
-  std::string first, next;  // of a change: other programs to begin with, and to change to; empty: the same
+  std::string dispatcher_program;  // the program under test
+  std::string lab_program;         // woadtide-lab, for the other processes
+  std::string folder;              // for all files; not deleted
+  std::string old_program,
+      new_program;  // of a change: the programs before and after; empty: the program under test
   std::uint64_t seed = 1;
-  bool progress = false;  // a line every few seconds, on standard error
+  bool progress = false;  // write a progress line to standard error every few seconds
 };
 
-// Throws std::runtime_error where a process does not start or does not get ready.
-struct Run {
+// Findings of one run.
+struct RunResult {
   Findings findings;
-  std::optional<ChangeFindings> change;  // where the scenario has one
+  std::optional<ChangeFindings> change;  // if the scenario has a change
   bool good() const { return findings.good() && (!change || change->good()); }
 };
-Run run(const Scenario& scenario, const RunSettings& settings);
+// Runs a scenario to its end. Throws std::runtime_error if a process does not start or become ready.
+RunResult run(const Scenario& scenario, const RunSettings& settings);
 
 }  // namespace woadtide::lab::cluster
--- a/src/lab/cluster/change_judge.cpp
+++ b/src/lab/cluster/change_judge.cpp
@@ -11,109 +11,111 @@
 
 namespace {
 
-template <class Use>
-void each_line(const std::string& path, const Use& use) {
+template <class Visitor>
+void for_each_line(const std::string& path, const Visitor& visit) {
   std::ifstream file(path);
-  for (std::string text; std::getline(file, text);) {
-    const json line = json::parse(text, nullptr, false);  // a line that a kill tore is none
-    if (line.is_object()) use(line);
+  for (std::string line_text; std::getline(file, line_text);) {
+    const json line = json::parse(line_text, nullptr, false);  // a line torn by a kill does not parse
+    if (line.is_object()) visit(line);
   }
 }
 
 }  // namespace
 
 std::string ChangeFindings::summary() const {
-  std::string text = "change: " + outcome + (reason.empty() ? "" : " (" + reason + ")") +
-                     ", most on the new version " + std::to_string(most_on_new) + ", for " +
-                     std::to_string(static_cast<int>(new_ms)) + " ms; pauses " +
-                     std::to_string(pauses.size()) + ", over its stage " + std::to_string(over_stage) +
-                     ", untrue ends " + std::to_string(untrue) + ", without an end " + std::to_string(no_end);
-  return text;
+  std::string summary_text =
+      "change: " + outcome + (reason.empty() ? "" : " (" + reason + ")") + ", most on the new version " +
+      std::to_string(most_on_new) + ", for " + std::to_string(static_cast<int>(new_ms)) + " ms; pauses " +
+      std::to_string(pauses.size()) + ", over its stage " + std::to_string(over_stage) + ", untrue ends " +
+      std::to_string(untrue) + ", without an end " + std::to_string(no_end);
+  return summary_text;
 }
 
-ChangeFindings judge_change(const ChangeBooks& books) {
-  ChangeFindings found;
-  std::vector<Life> lives = books.lives;
-  std::stable_sort(lives.begin(), lives.end(),
+ChangeFindings judge_change(const ChangeBooks& records) {
+  ChangeFindings findings;
+  std::vector<Life> events = records.lives;
+  std::stable_sort(events.begin(), events.end(),
                    [](const Life& a, const Life& b) { return a.at_ms < b.at_ms; });
-  // A member counts from the start of a process of the new version until none of it is there.
-  std::map<std::string, std::map<int, std::string>> running;
-  double first = 0, last = 0;
-  for (const Life& life : lives) {
-    auto& processes = running[life.member];
-    if (life.what == "start") processes[life.pid] = life.version;
-    if (life.what == "gone") processes.erase(life.pid);
+  // A member counts as on the new version while at least one of its processes runs it.
+  std::map<std::string, std::map<int, std::string>> processes_by_member;
+  double first_new_ms = 0, last_new_ms = 0;
+  for (const Life& event : events) {
+    auto& processes = processes_by_member[event.member];
+    if (event.what == "start") processes[event.pid] = event.version;
+    if (event.what == "gone") processes.erase(event.pid);
     int on_new = 0;
-    for (const auto& [member, all] : running)
+    for (const auto& [member, all] : processes_by_member)
       on_new += std::any_of(all.begin(), all.end(),
-                            [&](const auto& one) { return one.second != books.old_version; });
-    if (on_new > 0 && first == 0) first = life.at_ms;
-    if (on_new > 0) last = 0;
-    if (on_new == 0 && first > 0 && last == 0) last = life.at_ms;
-    found.most_on_new = std::max(found.most_on_new, on_new);
-    if (life.what != "start" || life.version == books.old_version) continue;
+                            [&](const auto& process) { return process.second != records.old_version; });
+    if (on_new > 0 && first_new_ms == 0) first_new_ms = event.at_ms;
+    if (on_new > 0) last_new_ms = 0;
+    if (on_new == 0 && first_new_ms > 0 && last_new_ms == 0) last_new_ms = event.at_ms;
+    findings.most_on_new = std::max(findings.most_on_new, on_new);
+    if (event.what != "start" || event.version == records.old_version) continue;
     int allowed = 0;
-    for (const Stood& stood : books.stood)
-      if (stood.at_ms <= life.at_ms) allowed = stood.allowed;
+    for (const Stood& state : records.stood)
+      if (state.at_ms <= event.at_ms) allowed = state.allowed;
     if (on_new <= allowed) continue;
-    found.over_stage += 1;
-    found.lines.push_back(life.member + ": number " + std::to_string(on_new) + " on the new version, and " +
-                          std::to_string(allowed) + " were allowed");
+    findings.over_stage += 1;
+    findings.lines.push_back(event.member + ": number " + std::to_string(on_new) +
+                             " on the new version, but " + std::to_string(allowed) + " were allowed");
   }
-  for (const Stood& stood : books.stood)
-    if (!stood.paused.empty() && (found.pauses.empty() || found.pauses.back() != stood.paused))
-      found.pauses.push_back(stood.paused);
-  const Stood end = books.stood.empty() ? Stood{} : books.stood.back();
-  found.outcome = end.phase;
-  found.reason = end.reason;
-  if (first > 0) found.new_ms = (last > 0 ? last : end.at_ms) - first;
-  if (end.phase != "complete" && end.phase != "back") {
-    found.no_end += 1;
-    found.lines.push_back("the change has no end: " + (end.phase.empty() ? "it never began" : end.phase) +
-                          (end.paused.empty() ? "" : ", paused: " + end.paused));
-    return found;
+  for (const Stood& state : records.stood)
+    if (!state.paused.empty() && (findings.pauses.empty() || findings.pauses.back() != state.paused))
+      findings.pauses.push_back(state.paused);
+  const Stood final_state = records.stood.empty() ? Stood{} : records.stood.back();
+  findings.outcome = final_state.phase;
+  findings.reason = final_state.reason;
+  if (first_new_ms > 0) findings.new_ms = (last_new_ms > 0 ? last_new_ms : final_state.at_ms) - first_new_ms;
+  if (final_state.phase != "complete" && final_state.phase != "back") {
+    findings.no_end += 1;
+    findings.lines.push_back(
+        "the change has no outcome: " + (final_state.phase.empty() ? "it never started" : final_state.phase) +
+        (final_state.paused.empty() ? "" : ", paused: " + final_state.paused));
+    return findings;
   }
-  for (const auto& [member, version] : books.runs) {
-    const auto place = end.places.find(member);
-    if (place != end.places.end() && place->second == "left") continue;  // named as such
-    const bool is_old = version == books.old_version;
-    if (!version.empty() && is_old == (end.phase == "back")) continue;
-    found.untrue += 1;
-    found.lines.push_back(member + ": the change is " + end.phase + ", and it runs " +
-                          (version.empty() ? "nothing"
-                           : is_old        ? "the old version"
-                                           : "the new version"));
+  for (const auto& [member, version] : records.runs) {
+    const auto place_entry = final_state.places.find(member);
+    if (place_entry != final_state.places.end() && place_entry->second == "left")
+      continue;  // reported as not rolled back
+    const bool runs_old = version == records.old_version;
+    if (!version.empty() && runs_old == (final_state.phase == "back")) continue;
+    findings.untrue += 1;
+    findings.lines.push_back(member + ": the change is " + final_state.phase + ", but it runs " +
+                             (version.empty() ? "nothing"
+                              : runs_old      ? "the old version"
+                                              : "the new version"));
   }
-  return found;
+  return findings;
 }
 
 ChangeBooks read_change(const std::map<std::string, std::string>& histories, const std::string& controller) {
-  ChangeBooks books;
-  double first = 0;
+  ChangeBooks records;
+  double first_start_ms = 0;
   for (const auto& [member, path] : histories)
-    each_line(path, [&](const json& line) {
+    for_each_line(path, [&](const json& line) {
       const std::string what = line.value("what", "");
       if (what != "start" && what != "gone" && what != "serves") return;
-      const Life life{member,
-                      what,
-                      line.value("version", ""),
-                      line.value("at_ms", 0.0),
-                      line.value("pid", 0),
-                      line.value("unordered", false)};
-      if (what == "start" && (first == 0 || life.at_ms < first)) {
-        first = life.at_ms;
-        books.old_version = life.version;  // the first one that anybody started
+      const Life event{member,
+                       what,
+                       line.value("version", ""),
+                       line.value("at_ms", 0.0),
+                       line.value("pid", 0),
+                       line.value("unordered", false)};
+      if (what == "start" && (first_start_ms == 0 || event.at_ms < first_start_ms)) {
+        first_start_ms = event.at_ms;
+        records.old_version = event.version;  // the version of the first process started
       }
-      books.lives.push_back(life);
+      records.lives.push_back(event);
     });
-  each_line(controller, [&](const json& line) {
+  for_each_line(controller, [&](const json& line) {
     if (line.value("what", "") != "state") return;
-    Stood stood{line.value("at_ms", 0.0), line.value("phase", ""),  line.value("paused", ""),
+    Stood state{line.value("at_ms", 0.0), line.value("phase", ""),  line.value("paused", ""),
                 line.value("reason", ""), line.value("allowed", 0), {}};
-    line.at("places").get_to(stood.places);
-    books.stood.push_back(std::move(stood));
+    line.at("places").get_to(state.places);
+    records.stood.push_back(std::move(state));
   });
-  return books;
+  return records;
 }
 
 }  // namespace woadtide::lab::cluster
--- a/src/lab/cluster/clients.hpp
+++ b/src/lab/cluster/clients.hpp
@@ -1,12 +1,12 @@
-// The clients of one dispatcher as a process of a run: open-loop load, whatever comes of it, and what they
-// saw.
+// Client process of a run: generates open-loop load for one dispatcher, whatever the outcome of earlier
+// queries, and records what the clients saw.
 #pragma once
 
 #include <string>
 
 namespace woadtide::lab::cluster {
 
-// Returns when the run's time is over and all queries have ended. `to`: the dispatcher's name.
-void run_clients(const std::string& plan, const std::string& to, const std::string& record);
+// Returns when the time of the run is over and all queries have ended. `dispatcher` is its name.
+void run_clients(const std::string& plan_path, const std::string& dispatcher, const std::string& record_path);
 
 }  // namespace woadtide::lab::cluster
--- a/src/lab/cluster/judge.hpp
+++ b/src/lab/cluster/judge.hpp
@@ -1,5 +1,5 @@
-// The checker of a run of many processes: from what clients saw, what discovery told and what the workers'
-// ledgers hold. It knows the schedule, and no dispatcher's word.
+// Checker of a multi-process run. It judges from the records of clients and discovery, the workers' ledgers
+// and the fault schedule, and never from a dispatcher's own claims.
 #pragma once
 
 #include <string>
@@ -10,30 +10,33 @@
 
 namespace woadtide::lab::cluster {
 
-struct Books {
-  std::vector<Asked> asked;
-  std::vector<Told> told;
+// Records that the processes of a run left.
+struct RunRecords {
+  std::vector<QueryRecord> queries;
+  std::vector<DiscoveryNotice> notices;
   std::map<std::string, std::vector<Entry>> ledgers;  // by worker
 };
 
+// Result of the check: counts of outcomes and of violations.
 struct Findings {
   int queries = 0, served = 0, refused = 0, failed = 0;
-  int excused = 0;                 // without an answer, by a fault that was in force
-  int lost = 0;                    // without an answer, and nothing excuses it
-  int late = 0;                    // answered behind their time, and nothing excuses it
-  int twice = 0;                   // payouts that began twice
-  int untrue = 0;                  // answers that the ledgers contradict
-  int late_sends = 0;              // to a worker whose drain was told longer ago than the grace
-  int crashes = 0;                 // dispatchers that ended by themselves, or badly when they were told to
-  std::vector<std::string> lines;  // each of them
-
-  bool good() const { return lost + late + twice + untrue + late_sends + crashes == 0; }
+  int excused = 0;            // without an answer because of an active fault
+  int lost = 0;               // without an answer, and no fault excuses it
+  int late = 0;               // answered after the time limit, and no fault excuses it
+  int duplicate_payouts = 0;  // payouts that were started twice
+  int contradictions = 0;     // answers that contradict the ledgers
+  int late_sends = 0;         // to a worker whose drain was announced longer ago than the grace period
+  int crashes = 0;            // dispatchers that exited unexpectedly, or with an error when they were stopped
+  std::vector<std::string> lines;  // one for each violation
+
+  bool good() const { return lost + late + duplicate_payouts + contradictions + late_sends + crashes == 0; }
   std::string summary() const;
 };
 
-Findings judge(const Plan& plan, const Books& books);
+// Checks a run; pure.
+Findings check_run(const Plan& plan, const RunRecords& records);
 
-// A run's files: asked-*.jsonl, told.jsonl, w*.ledger.
-Books read_books(const Plan& plan, const std::string& folder);
+// Reads the files asked-*.jsonl, told.jsonl and w*.ledger of a run folder.
+RunRecords read_run_records(const Plan& plan, const std::string& folder);
 
 }  // namespace woadtide::lab::cluster
--- a/src/lab/cluster/plan.hpp
+++ b/src/lab/cluster/plan.hpp
@@ -1,4 +1,5 @@
-// What every process of a run is told, as one JSON file, and the lines that they leave behind.
+// Configuration that all processes of a run share as one JSON file, and the JSON Lines records that they
+// write.
 #pragma once
 
 #include <cstdint>
@@ -10,55 +11,59 @@
 
 namespace woadtide::lab::cluster {
 
+// Scenario, faults and addresses of one run.
 struct Plan {
   Scenario scenario;
   std::uint64_t seed = 1;
-  double start_ms = 0;  // on the machine's clock; all times below count from here
+  double start_ms = 0;  // on the machine's clock, which all processes share; other times are relative to it
   std::vector<Fault> faults;
   int registry_port = 0;
-  std::map<std::string, std::string> zones;  // by process
-  // By dispatcher: where it reaches discovery, each worker, and where its clients reach it; all relays.
-  std::map<std::string, std::string> discovery, clients;
-  std::map<std::string, std::map<std::string, std::string>> workers;
+  std::map<std::string, std::string> zones;  // by process name
+  // By dispatcher name, all through relays: the address of discovery, the address for its clients, and the
+  // address of each worker by name.
+  std::map<std::string, std::string> discovery_addresses, client_addresses;
+  std::map<std::string, std::map<std::string, std::string>> worker_addresses;
 };
 
+// Writes the plan as JSON.
 void write_plan(const Plan& plan, const std::string& path);
-// Throws std::runtime_error.
+// Throws std::runtime_error if the file is missing or not a valid plan.
 Plan read_plan(const std::string& path);
 
-// A worker's state by the schedule.
-bool drains(const Plan& plan, const std::string& worker, double at_ms);
+// Whether the schedule has the worker draining at `at_ms`.
+bool is_draining(const Plan& plan, const std::string& worker, double at_ms);
 
-// One query, as its client saw it.
-struct Asked {
-  std::string id, to;
-  bool once = false;
-  double asked_ms = 0, ended_ms = 0;  // asked: its last byte was sent
-  enum class End { answer, broken, none, unsent } end = End::none;
+// One query as its client saw it.
+struct QueryRecord {
+  std::string id, dispatcher;
+  bool at_most_once = false;
+  double sent_ms = 0, ended_ms = 0;  // sent_ms: when the last byte of the query was sent
+  enum class Outcome { answered, link_broken, timed_out, not_sent } outcome = Outcome::timed_out;
   int status = 0;
   std::string body;
 };
-// What discovery has written to a dispatcher.
-struct Told {
-  std::string to, worker;
+// One change of a worker state that discovery wrote to a dispatcher.
+struct DiscoveryNotice {
+  std::string dispatcher, worker;
   double at_ms = 0;
-  bool drains = false;
+  bool draining = false;
 };
 
-std::string line_of(const Asked& asked);
-std::string line_of(const Told& told);
-// Whole lines only; a missing file has none.
-std::vector<Asked> read_asked(const std::string& path);
-std::vector<Told> read_told(const std::string& path);
+// One line of JSON, without the line feed.
+std::string to_json_line(const QueryRecord& query);
+std::string to_json_line(const DiscoveryNotice& notice);
+// Return the complete lines of a file; a torn line is skipped, a missing file has none.
+std::vector<QueryRecord> read_query_records(const std::string& path);
+std::vector<DiscoveryNotice> read_discovery_notices(const std::string& path);
 
-// Appends lines to a file, each in one write. Throws std::runtime_error.
-class Lines {
+// Appends lines to a file, each in a single write(). Throws std::runtime_error if that fails.
+class JsonLinesFile {
  public:
-  explicit Lines(const std::string& path);
-  ~Lines();
-  Lines(const Lines&) = delete;
-  Lines& operator=(const Lines&) = delete;
-  void add(const std::string& line);
+  explicit JsonLinesFile(const std::string& path);
+  ~JsonLinesFile();
+  JsonLinesFile(const JsonLinesFile&) = delete;
+  JsonLinesFile& operator=(const JsonLinesFile&) = delete;
+  void append(const std::string& line);
 
  private:
   const std::string path_;
--- a/src/lab/cluster/registry.cpp
+++ b/src/lab/cluster/registry.cpp
@@ -17,51 +17,51 @@
 
 namespace {
 
-constexpr double kPatienceMs = 10'000, kQuietMs = 1'000;
-constexpr int kLookMs = 5;
-constexpr std::size_t kLinks = 128;
+constexpr double kIoTimeoutMs = 10'000, kKeepAliveIntervalMs = 1'000;
+constexpr int kPollIntervalMs = 5;
+constexpr std::size_t kMaxLinks = 128;
 
-class Registry {
+class DiscoveryProcess {
  public:
-  Registry(Plan plan, const std::string& record)
+  DiscoveryProcess(Plan plan, const std::string& record)
       : plan_(std::move(plan)),
-        record_(record),
+        records_(record),
         acceptor_("registry",
                   net::Socket::listen_at(net::Address("127.0.0.1:" + std::to_string(plan_.registry_port))),
-                  kLinks, clock_, [this](net::Socket& socket) { serve(socket); }) {}
+                  kMaxLinks, clock_, [this](net::Socket& socket) { serve(socket); }) {}
 
  private:
-  using States = std::map<std::string, bool>;  // whether it drains
+  using DrainStates = std::map<std::string, bool>;  // by worker: whether it drains
   double now() const { return clock_.now() - plan_.start_ms; }
 
-  States states() const {
-    States all;
+  DrainStates drain_states() const {
+    DrainStates states;
     for (int i = 0; i < plan_.scenario.workers; ++i) {
       const std::string worker = "w" + std::to_string(i);
-      all[worker] = drains(plan_, worker, now());
+      states[worker] = is_draining(plan_, worker, now());
     }
-    return all;
+    return states;
   }
-  // It grows with each change of any worker, and is the same after a look again.
+  // Grows with each state change of any worker, and depends only on the time and the schedule.
   int sequence() const {
-    int seq = 1;
+    int number = 1;
     for (const Fault& fault : plan_.faults)
-      if (fault.kind == Kind::drain) seq += (fault.from_ms <= now()) + (fault.to_ms <= now());
-    return seq;
+      if (fault.kind == FaultKind::drain) number += (fault.from_ms <= now()) + (fault.to_ms <= now());
+    return number;
   }
-  std::string list(const std::string& dispatcher, const States& states) const {
+  std::string serialize_list(const std::string& dispatcher, const DrainStates& drain_states) const {
     json hosts = json::array();
-    for (const auto& [worker, dial] : plan_.workers.at(dispatcher))
+    for (const auto& [worker, address] : plan_.worker_addresses.at(dispatcher))
       hosts.push_back({{"host", worker},
-                       {"dial", dial},
+                       {"dial", address},
                        {"site", plan_.zones.at(worker)},
                        {"class", "lab"},
-                       {"health", states.at(worker) ? "Terminating" : "Ready"},
+                       {"health", drain_states.at(worker) ? "Terminating" : "Ready"},
                        {"born_ms", 0}});
     return json({{"seq", sequence()}, {"whole", true}, {"hosts", std::move(hosts)}}).dump() + '\n';
   }
   bool write(net::Socket& socket, const std::string& text) {
-    return socket.send({text}, clock_.now() + kPatienceMs, clock_) == net::Io::done;
+    return socket.send({text}, clock_.now() + kIoTimeoutMs, clock_) == net::Io::done;
   }
   bool write_chunk(net::Socket& socket, const std::string& text) {
     char size[16];
@@ -69,52 +69,53 @@
     return write(socket, size + text + "\r\n");
   }
 
-  // Who asks shows in the address that it thinks it calls: each has a relay of its own.
-  std::string caller(const std::string& host) const {
-    for (const auto& [dispatcher, dial] : plan_.discovery)
-      if (dial == host) return dispatcher;
+  // The caller follows from the address that it called: each dispatcher has its own relay.
+  std::string dispatcher_of_host(const std::string& host) const {
+    for (const auto& [dispatcher, address] : plan_.discovery_addresses)
+      if (address == host) return dispatcher;
     return {};
   }
 
   void serve(net::Socket& socket) {
-    net::BufferPool pool(1);
-    net::Intake intake(socket, clock_, pool);
-    net::Io why = net::Io::done;
-    const auto length = intake.head(clock_.now() + kPatienceMs, why);
+    net::BufferPool buffer_pool(1);
+    net::Intake input(socket, clock_, buffer_pool);
+    net::Io result = net::Io::done;
+    const auto length = input.head(clock_.now() + kIoTimeoutMs, result);
     if (!length) return;
-    const net::Head head = net::read_query_head(intake.view().substr(0, *length));
-    const std::string dispatcher = caller(std::string(head.find("Host").value_or("")));
+    const net::Head head = net::read_query_head(input.view().substr(0, *length));
+    const std::string dispatcher = dispatcher_of_host(std::string(head.find("Host").value_or("")));
     if (dispatcher.empty()) return;
     if (!write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")) return;
-    States told;
-    double quiet = 0;
-    // The watch of one that is gone ends with the next line that cannot be written.
-    for (;; ::poll(nullptr, 0, kLookMs)) {
-      const States states = this->states();
-      if (states != told) {
-        if (!write_chunk(socket, list(dispatcher, states))) return;
-        for (const auto& [worker, drains] : states)
-          if (const auto was = told.find(worker); was == told.end() || was->second != drains)
-            record_.add(line_of(Told{dispatcher, worker, now(), drains}));
-        told = states;
-        quiet = clock_.now();
-      } else if (clock_.now() - quiet > kQuietMs) {
+    DrainStates sent_states;
+    double last_write_ms = 0;
+    // The watch of a disconnected dispatcher ends when the next write fails.
+    for (;; ::poll(nullptr, 0, kPollIntervalMs)) {
+      const DrainStates drain_states = this->drain_states();
+      if (drain_states != sent_states) {
+        if (!write_chunk(socket, serialize_list(dispatcher, drain_states))) return;
+        for (const auto& [worker, draining] : drain_states)
+          if (const auto previous = sent_states.find(worker);
+              previous == sent_states.end() || previous->second != draining)
+            records_.append(to_json_line(DiscoveryNotice{dispatcher, worker, now(), draining}));
+        sent_states = drain_states;
+        last_write_ms = clock_.now();
+      } else if (clock_.now() - last_write_ms > kKeepAliveIntervalMs) {
         if (!write_chunk(socket, "\n")) return;
-        quiet = clock_.now();
+        last_write_ms = clock_.now();
       }
     }
   }
 
   core::Clock clock_;
   const Plan plan_;
-  Lines record_;
-  Acceptor acceptor_;  // last
+  JsonLinesFile records_;
+  Acceptor acceptor_;  // declared last: its threads use the other members
 };
 
 }  // namespace
 
 void run_registry(const std::string& plan, const std::string& record) {
-  Registry registry(read_plan(plan), record);
+  DiscoveryProcess registry(read_plan(plan), record);
   for (;;) ::poll(nullptr, 0, 1'000);
 }
 
--- a/src/lab/cluster/registry.hpp
+++ b/src/lab/cluster/registry.hpp
@@ -1,12 +1,12 @@
-// Discovery as a process of a run: to each dispatcher a list of its own dials, drains by the schedule, and a
-// record of what was written to whom, when.
+// Service discovery process of a run. It sends each dispatcher a list with the addresses of its own relays,
+// drains workers by the schedule, and records what was written to which dispatcher and when.
 #pragma once
 
 #include <string>
 
 namespace woadtide::lab::cluster {
 
-// Serves until it is killed. Throws where the plan or the port cannot be used.
+// Serves until the process is killed. Throws if the plan or the port cannot be used.
 [[noreturn]] void run_registry(const std::string& plan, const std::string& record);
 
 }  // namespace woadtide::lab::cluster
--- a/src/lab/cluster/relay.cpp
+++ b/src/lab/cluster/relay.cpp
@@ -14,140 +14,146 @@
 
 namespace {
 
-constexpr int kTurnMs = 2;
-constexpr double kConnectMs = 50, kDelayMs = 120;
-constexpr std::size_t kMostHeld = 256 * 1024;
-
-// So that its peer sees a reset, as from a machine that has gone, and not an orderly end.
-void reset(const net::Socket& socket) {
-  const linger now{1, 0};
-  if (socket) ::setsockopt(socket.fd(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+constexpr int kPollIntervalMs = 2;
+constexpr double kConnectTimeoutMs = 50, kDelayMs = 120;
+constexpr std::size_t kMaxHeldBytes = 256 * 1024;
+
+// Makes the peer see a reset, as from a host that has gone away, instead of an orderly close.
+void reset_on_close(const net::Socket& socket) {
+  const linger discard{1, 0};
+  if (socket) ::setsockopt(socket.fd(), SOL_SOCKET, SO_LINGER, &discard, sizeof discard);
 }
 
 }  // namespace
 
 Relays::Relays() : thread_("relays", [this] { run(); }) {}
 
-Relays::~Relays() { ending_ = true; }
+Relays::~Relays() { stopping_ = true; }
 
-std::string Relays::add(const std::string& from, const std::string& to, const std::string& target) {
+std::string Relays::add_route(const std::string& from, const std::string& to, const std::string& target) {
   const std::lock_guard lock(mutex_);
-  Pair& pair = pairs_[{from, to}];
-  pair.target = net::Address(target);
-  pair.listener = net::Socket::listen_at(net::Address("127.0.0.1:0"));
-  ::fcntl(pair.listener.fd(), F_SETFL, O_NONBLOCK);
-  return "127.0.0.1:" + std::to_string(pair.listener.port());
+  Route& route = routes_[{from, to}];
+  route.target = net::Address(target);
+  route.listener = net::Socket::listen_at(net::Address("127.0.0.1:0"));
+  ::fcntl(route.listener.fd(), F_SETFL, O_NONBLOCK);
+  return "127.0.0.1:" + std::to_string(route.listener.port());
 }
 
-void Relays::set(const std::string& from, const std::string& to, std::optional<Kind> fault) {
+void Relays::set_fault(const std::string& from, const std::string& to, std::optional<FaultKind> fault) {
   const std::lock_guard lock(mutex_);
-  Pair& pair = pairs_.at({from, to});
-  pair.fault = fault;
-  pair.look = true;
+  Route& route = routes_.at({from, to});
+  route.fault = fault;
+  route.needs_service = true;
 }
 
-// Pairs are never taken out, so that one may be named outside the mutex.
+// Routes are never removed, so pointers to them stay valid outside the mutex.
 void Relays::run() {
-  std::vector<pollfd> all;
-  std::vector<Pair*> of;
-  while (!ending_) {
+  std::vector<pollfd> poll_fds;
+  std::vector<Route*> polled_routes;
+  while (!stopping_) {
     {
       const std::lock_guard lock(mutex_);
-      for (std::size_t i = 0; i < all.size(); ++i)
-        if (all[i].revents != 0) of[i]->look = true;
-      all.clear();
-      of.clear();
-      for (auto& [names, pair] : pairs_) {
-        if (std::exchange(pair.look, false)) {
-          accept_at(pair);
-          std::erase_if(pair.pipes, [&](Pipe& pipe) { return !go_on(pair, pipe); });
-          pair.look = std::any_of(pair.pipes.begin(), pair.pipes.end(), [](const Pipe& pipe) {
-            return !pipe.ways[0].held.empty() || !pipe.ways[1].held.empty();
-          });
+      for (std::size_t i = 0; i < poll_fds.size(); ++i)
+        if (poll_fds[i].revents != 0) polled_routes[i]->needs_service = true;
+      poll_fds.clear();
+      polled_routes.clear();
+      for (auto& [endpoints, route] : routes_) {
+        if (std::exchange(route.needs_service, false)) {
+          accept_connections(route);
+          std::erase_if(route.connections,
+                        [&](Connection& connection) { return !service_connection(route, connection); });
+          route.needs_service = std::any_of(
+              route.connections.begin(), route.connections.end(), [](const Connection& connection) {
+                return !connection.directions[0].chunks.empty() || !connection.directions[1].chunks.empty();
+              });
         }
-        all.push_back({pair.listener.fd(), POLLIN, 0});
-        of.resize(all.size(), &pair);
-        if (pair.fault == Kind::stall) continue;  // what waits there would wake us for nothing
-        for (Pipe& pipe : pair.pipes)
+        poll_fds.push_back({route.listener.fd(), POLLIN, 0});
+        polled_routes.resize(poll_fds.size(), &route);
+        if (route.fault == FaultKind::stall)
+          continue;  // readable data that is not forwarded would wake poll() in vain
+        for (Connection& connection : route.connections)
           for (int end = 0; end < 2; ++end)
-            if (pipe.ends[end] && !pipe.ways[end].ended && pipe.ways[end].bytes < kMostHeld &&
-                !(end == 1 && pair.fault == Kind::one_way))
-              all.push_back({pipe.ends[end].fd(), POLLIN, 0});
-        of.resize(all.size(), &pair);
+            if (connection.ends[end] && !connection.directions[end].end_received &&
+                connection.directions[end].held_bytes < kMaxHeldBytes &&
+                !(end == 1 && route.fault == FaultKind::one_way))
+              poll_fds.push_back({connection.ends[end].fd(), POLLIN, 0});
+        polled_routes.resize(poll_fds.size(), &route);
       }
     }
-    ::poll(all.data(), all.size(), kTurnMs);
+    ::poll(poll_fds.data(), poll_fds.size(), kPollIntervalMs);
   }
 }
 
-void Relays::accept_at(Pair& pair) {
+void Relays::accept_connections(Route& route) {
   for (;;) {
-    net::Socket socket{park::Fd(::accept4(pair.listener.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
+    net::Socket socket{park::Fd(::accept4(route.listener.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
     if (!socket) return;
     socket.set_no_delay();
-    if (pair.fault == Kind::cut) {
-      reset(socket);
+    if (route.fault == FaultKind::cut) {
+      reset_on_close(socket);
       continue;
     }
-    pair.pipes.emplace_back().ends[0] = std::move(socket);
+    route.connections.emplace_back().ends[0] = std::move(socket);
   }
 }
 
-// False where the link is over.
-bool Relays::go_on(Pair& pair, Pipe& pipe) {
-  if (pair.fault == Kind::cut) {
-    for (const net::Socket& end : pipe.ends) reset(end);
+// Returns false when the link is to be closed.
+bool Relays::service_connection(Route& route, Connection& connection) {
+  if (route.fault == FaultKind::cut) {
+    for (const net::Socket& end : connection.ends) reset_on_close(end);
     return false;
   }
-  if (pair.fault == Kind::stall) return true;
-  if (!std::exchange(pipe.up, true)) {
-    pipe.ends[1] = net::Socket::make(pair.target);
-    if (!pipe.ends[1].connect(pair.target, kConnectMs)) {
-      reset(pipe.ends[0]);  // nobody listens: the nearest thing to a refusal that a relay has
+  if (route.fault == FaultKind::stall) return true;
+  if (!std::exchange(connection.connected, true)) {
+    connection.ends[1] = net::Socket::make(route.target);
+    if (!connection.ends[1].connect(route.target, kConnectTimeoutMs)) {
+      // Nobody listens: a reset is the closest that a relay has to a refused connection.
+      reset_on_close(connection.ends[0]);
       return false;
     }
   }
-  for (int way = 0; way < 2; ++way) {
-    if (way == 1 && pair.fault == Kind::one_way) continue;
-    if (pass(pair, pipe, way)) continue;
-    for (const net::Socket& end : pipe.ends) reset(end);
+  for (int direction = 0; direction < 2; ++direction) {
+    if (direction == 1 && route.fault == FaultKind::one_way) continue;
+    if (forward(route, connection, direction)) continue;
+    for (const net::Socket& end : connection.ends) reset_on_close(end);
     return false;
   }
-  return !(pipe.ways[0].told_end && pipe.ways[1].told_end);
+  return !(connection.directions[0].end_forwarded && connection.directions[1].end_forwarded);
 }
 
-// What has come at one end goes out at the other, once it is due. False where an end is broken.
-bool Relays::pass(const Pair& pair, Pipe& pipe, int way) {
-  Way& through = pipe.ways[way];
-  net::Socket& from = pipe.ends[way];
-  net::Socket& to = pipe.ends[1 - way];
-  const double now = clock_.now();
-  std::array<char, 16 * 1024> some{};
-  while (!through.ended && through.bytes < kMostHeld) {
-    std::size_t got = 0;
-    const net::Io io = from.receive(some.data(), some.size(), got);
-    if (io == net::Io::late) break;
-    if (io == net::Io::broken) return false;
-    if (io == net::Io::ended) {
-      through.ended = true;
+// Forwards received data to the other end once it is due. Returns false if an end has failed.
+bool Relays::forward(const Route& route, Connection& connection, int direction) {
+  Direction& stream = connection.directions[direction];
+  net::Socket& from = connection.ends[direction];
+  net::Socket& to = connection.ends[1 - direction];
+  const double now_ms = clock_.now();
+  std::array<char, 16 * 1024> buffer{};
+  while (!stream.end_received && stream.held_bytes < kMaxHeldBytes) {
+    std::size_t received_bytes = 0;
+    const net::Io result = from.receive(buffer.data(), buffer.size(), received_bytes);
+    if (result == net::Io::late) break;
+    if (result == net::Io::broken) return false;
+    if (result == net::Io::ended) {
+      stream.end_received = true;
       break;
     }
-    std::string bytes(some.data(), got);
-    if (pair.fault == Kind::corrupt) bytes[bytes.size() / 2] ^= 0x20;
-    through.bytes += got;
-    through.held.push_back({now + (pair.fault == Kind::delay ? kDelayMs : 0), std::move(bytes)});
+    std::string data(buffer.data(), received_bytes);
+    if (route.fault == FaultKind::corrupt) data[data.size() / 2] ^= 0x20;
+    stream.held_bytes += received_bytes;
+    stream.chunks.push_back({now_ms + (route.fault == FaultKind::delay ? kDelayMs : 0), std::move(data)});
   }
-  while (!through.held.empty() && through.held.front().due <= now) {
-    std::string& bytes = through.held.front().bytes;
-    const std::size_t went = to.send_some({bytes});
-    through.bytes -= went;
-    if (went < bytes.size()) {
-      bytes.erase(0, went);
+  while (!stream.chunks.empty() && stream.chunks.front().due_ms <= now_ms) {
+    std::string& data = stream.chunks.front().data;
+    const std::size_t sent_bytes = to.send_some({data});
+    stream.held_bytes -= sent_bytes;
+    if (sent_bytes < data.size()) {
+      data.erase(0, sent_bytes);
       break;
     }
-    through.held.pop_front();
+    stream.chunks.pop_front();
   }
-  if (through.ended && through.held.empty() && !std::exchange(through.told_end, true)) to.shut(SHUT_WR);
+  if (stream.end_received && stream.chunks.empty() && !std::exchange(stream.end_forwarded, true))
+    to.shut(SHUT_WR);
   return true;
 }
 
--- a/src/lab/cluster/relay.hpp
+++ b/src/lab/cluster/relay.hpp
@@ -1,5 +1,5 @@
-// All links between the processes of a run, led through one thread on loopback, with faults by pair. It knows
-// bytes and no protocol.
+// TCP relays for all links between the processes of a run, on loopback and in one thread, with faults for
+// each route. The relays forward bytes and know no protocol.
 #pragma once
 
 #include <atomic>
@@ -18,6 +18,7 @@
 
 namespace woadtide::lab::cluster {
 
+// Forwards the links of all routes. Thread-safe.
 class Relays {
  public:
   Relays();
@@ -25,47 +26,47 @@
   Relays(const Relays&) = delete;
   Relays& operator=(const Relays&) = delete;
 
-  // From here on `from` reaches `to`, which listens at `target`, at the address that comes back. Both ends of
-  // a pair are named once.
-  std::string add(const std::string& from, const std::string& to, const std::string& target);
-  // What befalls the pair's links, open and new, until the next call; nullopt: nothing. Throws
-  // std::out_of_range where nobody named the pair.
-  void set(const std::string& from, const std::string& to, std::optional<Kind> fault);
+  // Adds a route: `from` reaches `to`, which listens at `target`, at the returned address. Each pair may be
+  // added once.
+  std::string add_route(const std::string& from, const std::string& to, const std::string& target);
+  // Applies a fault to open and new links of the route until the next call; nullopt: none. Throws
+  // std::out_of_range for an unknown route.
+  void set_fault(const std::string& from, const std::string& to, std::optional<FaultKind> fault);
 
  private:
-  struct Held {
-    double due = 0;
-    std::string bytes;
+  struct Chunk {
+    double due_ms = 0;
+    std::string data;
   };
-  struct Way {
-    std::deque<Held> held;
-    std::size_t bytes = 0;
-    bool ended = false, told_end = false;
+  struct Direction {
+    std::deque<Chunk> chunks;
+    std::size_t held_bytes = 0;
+    bool end_received = false, end_forwarded = false;
   };
-  struct Pair;
-  struct Pipe {
+  struct Route;
+  struct Connection {
     net::Socket ends[2];
-    Way ways[2];  // 0: from the one who connected
-    bool up = false;
+    Direction directions[2];  // 0: from the connecting side
+    bool connected = false;
   };
-  struct Pair {
+  struct Route {
     net::Socket listener;
     net::Address target;
-    std::optional<Kind> fault;
-    std::list<Pipe> pipes;
-    bool look = true;  // something is ready, held back, or another fault holds
+    std::optional<FaultKind> fault;
+    std::list<Connection> connections;
+    bool needs_service = true;  // data is ready or held back, or the fault has changed
   };
 
   void run();
-  void accept_at(Pair& pair);
-  bool go_on(Pair& pair, Pipe& pipe);
-  bool pass(const Pair& pair, Pipe& pipe, int way);
+  void accept_connections(Route& route);
+  bool service_connection(Route& route, Connection& connection);
+  bool forward(const Route& route, Connection& connection, int direction);
 
   core::Clock clock_;
   std::mutex mutex_;
-  std::map<std::pair<std::string, std::string>, Pair> pairs_;
-  std::atomic<bool> ending_{false};
-  park::Thread thread_;  // last
+  std::map<std::pair<std::string, std::string>, Route> routes_;
+  std::atomic<bool> stopping_{false};
+  park::Thread thread_;  // declared last: it uses the other members
 };
 
 }  // namespace woadtide::lab::cluster
--- a/src/lab/cluster/report.hpp
+++ b/src/lab/cluster/report.hpp
@@ -1,4 +1,4 @@
-// One HTML file of a run: a time line for each dispatcher, faults over the service that its clients saw.
+// HTML report of a run: for each dispatcher a timeline of what its clients saw, with the faults.
 #pragma once
 
 #include <string>
@@ -7,6 +7,8 @@
 
 namespace woadtide::lab::cluster {
 
-void write_report(const Plan& plan, const Books& books, const Findings& found, const std::string& path);
+// Writes the report to `path`.
+void write_report(const Plan& plan, const RunRecords& records, const Findings& findings,
+                  const std::string& path);
 
 }  // namespace woadtide::lab::cluster
--- a/src/lab/cluster/scenario.cpp
+++ b/src/lab/cluster/scenario.cpp
@@ -13,17 +13,17 @@
 
 namespace {
 
-[[noreturn]] void wrong(const std::string& path, const toml::node& where, const std::string& what) {
-  throw std::runtime_error(path + ':' + std::to_string(where.source().begin.line) + ": " + what);
+[[noreturn]] void fail_at(const std::string& path, const toml::node& node, const std::string& message) {
+  throw std::runtime_error(path + ':' + std::to_string(node.source().begin.line) + ": " + message);
 }
 
-double number(const std::string& path, const std::string& key, const toml::node& node, double least,
-              double most) {
+double read_number(const std::string& path, const std::string& key, const toml::node& node, double min_value,
+                   double max_value) {
   const auto value = node.value<double>();
-  if (value && *value >= least && *value <= most) return *value;
+  if (value && *value >= min_value && *value <= max_value) return *value;
   std::ostringstream range;
-  range << key << ": a number from " << least << " to " << most << " wanted";
-  wrong(path, node, range.str());
+  range << key << ": expected a number from " << min_value << " to " << max_value;
+  fail_at(path, node, range.str());
 }
 
 }  // namespace
@@ -38,57 +38,58 @@
                              std::string(error.description()));
   }
   struct Key {
-    double least, most;
+    double min_value, max_value;
     std::function<void(double)> set;
   };
-  const std::map<std::string, Key> keys = {
-      {"dispatchers", {1, 16, [&](double v) { read.dispatchers = static_cast<int>(v); }}},
-      {"workers", {1, 16, [&](double v) { read.workers = static_cast<int>(v); }}},
-      {"seconds", {1, 3'600, [&](double v) { read.seconds = v; }}},
-      {"rate", {1, 2'000, [&](double v) { read.rate = v; }}},
-      {"payouts", {0, 1, [&](double v) { read.payouts = v; }}},
-      {"budget_ms", {100, 60'000, [&](double v) { read.budget_ms = v; }}},
-      {"grace_ms", {0, 5'000, [&](double v) { read.grace_ms = v; }}},
-      {"most_s", {0.1, 60, [&](double v) { read.most_s = v; }}},
-      {"zones", {1, 4, [&](double v) { read.zones = static_cast<int>(v); }}},
+  const std::map<std::string, Key> scenario_keys = {
+      {"dispatchers", {1, 16, [&](double value) { read.dispatchers = static_cast<int>(value); }}},
+      {"workers", {1, 16, [&](double value) { read.workers = static_cast<int>(value); }}},
+      {"seconds", {1, 3'600, [&](double value) { read.seconds = value; }}},
+      {"rate", {1, 2'000, [&](double value) { read.rate = value; }}},
+      {"payouts", {0, 1, [&](double value) { read.payouts = value; }}},
+      {"budget_ms", {100, 60'000, [&](double value) { read.budget_ms = value; }}},
+      {"grace_ms", {0, 5'000, [&](double value) { read.grace_ms = value; }}},
+      {"most_s", {0.1, 60, [&](double value) { read.most_s = value; }}},
+      {"zones", {1, 4, [&](double value) { read.zones = static_cast<int>(value); }}},
   };
-  ChangePlan& change = read.change;
-  const std::map<std::string, Key> of_change = {
-      {"at_s", {0, 3'600, [&](double v) { change.at_s = v; }}},
-      {"abort_s", {0, 3'600, [&](double v) { change.abort_s = v; }}},
-      {"look_ms", {0, 600'000, [&](double v) { change.look_ms = v; }}},
-      {"bake_ms", {0, 600'000, [&](double v) { change.bake_ms = v; }}},
-      {"patience_ms", {0, 600'000, [&](double v) { change.patience_ms = v; }}},
-      {"step_ms", {100, 600'000, [&](double v) { change.step_ms = v; }}},
-      {"turn_ms", {50, 60'000, [&](double v) { change.turn_ms = v; }}},
-      {"margin", {0.001, 0.5, [&](double v) { change.margin = v; }}},
-      {"false_stop", {0.000001, 0.5, [&](double v) { change.false_stop = v; }}},
-      {"false_go", {0.000001, 0.5, [&](double v) { change.false_go = v; }}},
+  ChangeScenario& change = read.change;
+  const std::map<std::string, Key> change_keys = {
+      {"at_s", {0, 3'600, [&](double value) { change.at_s = value; }}},
+      {"abort_s", {0, 3'600, [&](double value) { change.abort_s = value; }}},
+      {"look_ms", {0, 600'000, [&](double value) { change.look_ms = value; }}},
+      {"bake_ms", {0, 600'000, [&](double value) { change.bake_ms = value; }}},
+      {"patience_ms", {0, 600'000, [&](double value) { change.patience_ms = value; }}},
+      {"step_ms", {100, 600'000, [&](double value) { change.step_ms = value; }}},
+      {"turn_ms", {50, 60'000, [&](double value) { change.turn_ms = value; }}},
+      {"margin", {0.001, 0.5, [&](double value) { change.margin = value; }}},
+      {"false_stop", {0.000001, 0.5, [&](double value) { change.false_stop = value; }}},
+      {"false_go", {0.000001, 0.5, [&](double value) { change.false_go = value; }}},
   };
-  for (const auto& [name, node] : file) {
-    const std::string key(name.str());
+  for (const auto& [top_key, node] : file) {
+    const std::string key(top_key.str());
     if (key == "change" && node.is_table()) {
-      change.on = true;
-      for (const auto& [part, value] : *node.as_table()) {
-        const std::string word(part.str());
-        const auto known = of_change.find(word);
-        if (word == "flaw" && value.is_string())
+      change.enabled = true;
+      for (const auto& [key_node, value] : *node.as_table()) {
+        const std::string name(key_node.str());
+        const auto found = change_keys.find(name);
+        if (name == "flaw" && value.is_string())
           change.flaw = value.as_string()->get();
-        else if (word == "stages" && value.is_array())
+        else if (name == "stages" && value.is_array())
           for (const auto& stage : *value.as_array())
-            change.stages.push_back(static_cast<int>(number(path, "change.stages", stage, 1, 1'000)));
-        else if (known == of_change.end())
-          wrong(path, value, "change." + word + ": no such key");
+            change.stages.push_back(static_cast<int>(read_number(path, "change.stages", stage, 1, 1'000)));
+        else if (found == change_keys.end())
+          fail_at(path, value, "change." + name + ": no such key");
         else
-          known->second.set(number(path, "change." + word, value, known->second.least, known->second.most));
+          found->second.set(
+              read_number(path, "change." + name, value, found->second.min_value, found->second.max_value));
       }
       continue;
     }
     if (key == "faults" && node.is_table()) {
       for (const auto& [kind, count] : *node.as_table()) {
-        const std::string word(kind.str());
-        if (!kind_of(word)) wrong(path, count, "faults." + word + ": no such fault");
-        read.faults[word] = static_cast<int>(number(path, "faults." + word, count, 0, 1'000));
+        const std::string name(kind.str());
+        if (!fault_kind_from_name(name)) fail_at(path, count, "faults." + name + ": no such fault");
+        read.faults[name] = static_cast<int>(read_number(path, "faults." + name, count, 0, 1'000));
       }
       continue;
     }
@@ -96,9 +97,9 @@
       read.steady = node.as_boolean()->get();
       continue;
     }
-    const auto known = keys.find(key);
-    if (known == keys.end()) wrong(path, node, key + ": no such key");
-    known->second.set(number(path, key, node, known->second.least, known->second.most));
+    const auto found = scenario_keys.find(key);
+    if (found == scenario_keys.end()) fail_at(path, node, key + ": no such key");
+    found->second.set(read_number(path, key, node, found->second.min_value, found->second.max_value));
   }
   return read;
 }
--- a/src/lab/cluster/schedule.cpp
+++ b/src/lab/cluster/schedule.cpp
@@ -10,88 +10,92 @@
 namespace woadtide::lab::cluster {
 
 namespace {
-constexpr std::array<std::pair<const char*, Kind>, 14> kWords = {{{"kill", Kind::kill},
-                                                                  {"stop", Kind::stop},
-                                                                  {"worker_kill", Kind::worker_kill},
-                                                                  {"cut", Kind::cut},
-                                                                  {"stall", Kind::stall},
-                                                                  {"one_way", Kind::one_way},
-                                                                  {"delay", Kind::delay},
-                                                                  {"corrupt", Kind::corrupt},
-                                                                  {"drain", Kind::drain},
-                                                                  {"supervisor_kill", Kind::supervisor_kill},
-                                                                  {"supervisor_stop", Kind::supervisor_stop},
-                                                                  {"controller_kill", Kind::controller_kill},
-                                                                  {"controller_stop", Kind::controller_stop},
-                                                                  {"controller_old", Kind::controller_old}}};
-constexpr double kLeastMs = 50, kDrainMs = 700;
+constexpr std::array<std::pair<const char*, FaultKind>, 14> kKindNames = {
+    {{"kill", FaultKind::kill},
+     {"stop", FaultKind::stop},
+     {"worker_kill", FaultKind::worker_kill},
+     {"cut", FaultKind::cut},
+     {"stall", FaultKind::stall},
+     {"one_way", FaultKind::one_way},
+     {"delay", FaultKind::delay},
+     {"corrupt", FaultKind::corrupt},
+     {"drain", FaultKind::drain},
+     {"supervisor_kill", FaultKind::supervisor_kill},
+     {"supervisor_stop", FaultKind::supervisor_stop},
+     {"controller_kill", FaultKind::controller_kill},
+     {"controller_stop", FaultKind::controller_stop},
+     {"controller_old", FaultKind::controller_old}}};
+constexpr double kMinFaultMs = 50, kMinDrainMs = 700;
 }  // namespace
 
-std::optional<Kind> kind_of(const std::string& word) {
-  for (const auto& [name, kind] : kWords)
-    if (word == name) return kind;
+std::optional<FaultKind> fault_kind_from_name(const std::string& name) {
+  for (const auto& [candidate, kind] : kKindNames)
+    if (name == candidate) return kind;
   return std::nullopt;
 }
 
-std::string word_of(Kind kind) {
-  for (const auto& [name, one] : kWords)
-    if (one == kind) return name;
+std::string fault_kind_name(FaultKind kind) {
+  for (const auto& [name, candidate] : kKindNames)
+    if (candidate == kind) return name;
   return {};
 }
 
-Scenario draw_change(Scenario scenario, std::uint64_t seed) {
+Scenario draw_change_scenario(Scenario scenario, std::uint64_t seed) {
   constexpr std::array<const char*, 8> kFlaws = {"start", "never", "load", "payouts",
                                                  "class", "slow",  "leak", "check"};
   constexpr std::array<const char*, 11> kFaults = {
       "kill",  "stop",  "supervisor_kill", "supervisor_stop", "cut", "stall", "one_way",
       "delay", "drain", "controller_kill", "controller_stop"};
   pcg32 random(seed, 77);
-  const auto dice = [&](int most) {
-    return boost::random::uniform_int_distribution<int>(0, most - 1)(random);
+  const auto random_below = [&](int limit) {
+    return boost::random::uniform_int_distribution<int>(0, limit - 1)(random);
   };
-  scenario.change.flaw = dice(20) < 9 ? "none" : kFlaws[static_cast<std::size_t>(dice(kFlaws.size()))];
+  scenario.change.flaw =
+      random_below(20) < 9 ? "none" : kFlaws[static_cast<std::size_t>(random_below(kFlaws.size()))];
   scenario.faults.clear();
   for (const char* fault : kFaults)
-    if (const int count = std::max(0, dice(5) - 2)) scenario.faults[fault] = count;
-  if (dice(8) == 0) scenario.faults["controller_old"] = 1;
-  if (dice(7) == 0)
-    scenario.change.abort_s = scenario.change.at_s + 1 + dice(static_cast<int>(scenario.seconds) / 2);
+    if (const int count = std::max(0, random_below(5) - 2)) scenario.faults[fault] = count;
+  if (random_below(8) == 0) scenario.faults["controller_old"] = 1;
+  if (random_below(7) == 0)
+    scenario.change.abort_s = scenario.change.at_s + 1 + random_below(static_cast<int>(scenario.seconds) / 2);
   return scenario;
 }
 
-std::vector<Fault> draw(const Scenario& scenario, std::uint64_t seed) {
+std::vector<Fault> draw_faults(const Scenario& scenario, std::uint64_t seed) {
   pcg32 random(seed);
-  const auto dice = [&](int most) {
-    return boost::random::uniform_int_distribution<int>(0, most - 1)(random);
+  const auto random_below = [&](int limit) {
+    return boost::random::uniform_int_distribution<int>(0, limit - 1)(random);
   };
-  const auto between = [&](double from, double to) {
+  const auto random_between = [&](double from, double to) {
     return boost::random::uniform_real_distribution<double>(from, std::max(to, from + 1))(random);
   };
-  const double last = scenario.seconds * 900;
+  const double last_end_ms = scenario.seconds * 900;
   std::vector<Fault> faults;
-  for (const auto& [word, count] : scenario.faults)
+  for (const auto& [name, count] : scenario.faults)
     for (int i = 0; i < count; ++i) {
       Fault fault;
-      fault.kind = *kind_of(word);
-      fault.from_ms = between(scenario.seconds * 50, last - kLeastMs);
-      fault.to_ms = std::min(fault.from_ms + between(kLeastMs, scenario.most_s * 1'000), last);
-      if (fault.kind == Kind::drain) {
-        // Long enough for a late send to show, while there is load.
-        fault.from_ms = between(scenario.seconds * 50, scenario.seconds * 450);
-        fault.to_ms = std::min(fault.from_ms + scenario.grace_ms + between(kDrainMs, 3 * kDrainMs), last);
+      fault.kind = *fault_kind_from_name(name);
+      fault.from_ms = random_between(scenario.seconds * 50, last_end_ms - kMinFaultMs);
+      fault.to_ms =
+          std::min(fault.from_ms + random_between(kMinFaultMs, scenario.most_s * 1'000), last_end_ms);
+      if (fault.kind == FaultKind::drain) {
+        // Long enough for a send after the grace period to show up, while there is still load.
+        fault.from_ms = random_between(scenario.seconds * 50, scenario.seconds * 450);
+        fault.to_ms = std::min(
+            fault.from_ms + scenario.grace_ms + random_between(kMinDrainMs, 3 * kMinDrainMs), last_end_ms);
       }
-      const std::string node = "n" + std::to_string(dice(scenario.dispatchers));
-      const std::string worker = "w" + std::to_string(dice(scenario.workers));
-      const bool of_worker = fault.kind == Kind::worker_kill || fault.kind == Kind::drain;
-      fault.at = of_worker ? worker : is_of_controller(fault.kind) ? "control" : node;
-      if (is_of_link(fault.kind)) {
-        // Most links are those to workers; a dispatcher has one to discovery and one from its clients.
-        const int which = dice(scenario.workers + (scenario.change.on ? 4 : 2));
-        fault.to = which == 0 ? "discovery" : which == 1 ? node : worker;
-        if (which == 1) fault.at = "clients";
-        if (which > scenario.workers + 1) {
-          fault.at = "control";
-          fault.to = node;
+      const std::string node = "n" + std::to_string(random_below(scenario.dispatchers));
+      const std::string worker = "w" + std::to_string(random_below(scenario.workers));
+      const bool targets_worker = fault.kind == FaultKind::worker_kill || fault.kind == FaultKind::drain;
+      fault.process = targets_worker ? worker : is_controller_fault(fault.kind) ? "control" : node;
+      if (is_link_fault(fault.kind)) {
+        // Most links lead to workers; a dispatcher has one link to discovery and one from its clients.
+        const int link_index = random_below(scenario.workers + (scenario.change.enabled ? 4 : 2));
+        fault.peer = link_index == 0 ? "discovery" : link_index == 1 ? node : worker;
+        if (link_index == 1) fault.process = "clients";
+        if (link_index > scenario.workers + 1) {
+          fault.process = "control";
+          fault.peer = node;
         }
       }
       faults.push_back(fault);
--- a/src/lab/cluster/schedule.hpp
+++ b/src/lab/cluster/schedule.hpp
@@ -1,5 +1,5 @@
-// The schedule of faults: drawn from the seed before anything starts, and the same for the same seed. Knows
-// no process and no socket.
+// Fault schedule of a run. A pure function of scenario and seed, computed before any process starts; it uses
+// neither processes nor sockets.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +11,15 @@
 
 namespace woadtide::lab::cluster {
 
-// kill, stop (SIGSTOP, then SIGCONT), worker_kill: of a process; the killed are started again at the end.
-// cut: links are reset and new ones too; stall: new links come up, nothing passes; one_way: nothing passes
-// back; delay: each piece comes late; corrupt: one byte of each piece is another one. drain: discovery lists
-// the worker as Terminating, then as Ready again. Of a run with a change: supervisor_kill, supervisor_stop,
-// controller_kill, controller_stop, and controller_old: it is killed, and finds an older copy of its state.
-enum class Kind {
+// Kinds of faults.
+// Processes: kill and worker_kill (SIGKILL; the process is started again when the fault ends), stop (SIGSTOP,
+// then SIGCONT).
+// Links: cut resets open and new links; stall accepts new links but forwards nothing; one_way forwards
+// nothing back to the connecting side; delay forwards each chunk late; corrupt changes one byte of each
+// chunk. Workers: drain lists the worker as Terminating in discovery, then as Ready again. Only in a run with
+// a change: supervisor_kill, supervisor_stop, controller_kill, controller_stop, and controller_old, which
+// kills the controller and leaves it an older copy of its state.
+enum class FaultKind {
   kill,
   stop,
   worker_kill,
@@ -32,27 +35,32 @@
   controller_stop,
   controller_old
 };
-inline bool is_of_controller(Kind kind) { return kind >= Kind::controller_kill; }
-inline bool is_of_change(Kind kind) { return kind >= Kind::supervisor_kill; }
-std::optional<Kind> kind_of(const std::string& word);
-std::string word_of(Kind kind);
-inline bool is_of_link(Kind kind) {
-  return kind == Kind::cut || kind == Kind::stall || kind == Kind::one_way || kind == Kind::delay ||
-         kind == Kind::corrupt;
+// Whether the fault targets the rollout controller.
+inline bool is_controller_fault(FaultKind kind) { return kind >= FaultKind::controller_kill; }
+// Whether the fault only occurs in a run with a change.
+inline bool is_change_fault(FaultKind kind) { return kind >= FaultKind::supervisor_kill; }
+// Conversion from and to the names used in scenario files; nullopt for an unknown name.
+std::optional<FaultKind> fault_kind_from_name(const std::string& name);
+std::string fault_kind_name(FaultKind kind);
+// Whether the fault targets the link between two processes.
+inline bool is_link_fault(FaultKind kind) {
+  return kind == FaultKind::cut || kind == FaultKind::stall || kind == FaultKind::one_way ||
+         kind == FaultKind::delay || kind == FaultKind::corrupt;
 }
 
+// One scheduled fault.
 struct Fault {
-  double from_ms = 0, to_ms = 0;  // since the run's start
-  Kind kind = Kind::kill;
-  std::string at;       // who: "n0", "w2"
-  std::string to = {};  // of a link: at -> to. "clients", "discovery", "control" for the controller
+  double from_ms = 0, to_ms = 0;  // since the start of the run
+  FaultKind kind = FaultKind::kill;
+  std::string process;    // target, or connecting side of a link: "n0", "w2", "clients", "control"
+  std::string peer = {};  // accepting side of a link, such as "discovery"; empty for other faults
 };
 
-// A change drawn for one of many runs: what the new version does wrong (mostly nothing), which faults come
-// beside it and whether it is aborted, on the scenario's fleet.
-Scenario draw_change(Scenario scenario, std::uint64_t seed);
+// Returns the scenario with a random change for `seed`: the defect of the new version (none in about half of
+// the draws), the faults during the change, and whether it is aborted.
+Scenario draw_change_scenario(Scenario scenario, std::uint64_t seed);
 
-// By time. Every fault ends at least a tenth of the run before the run does.
-std::vector<Fault> draw(const Scenario& scenario, std::uint64_t seed);
+// Returns the faults in order of their start. Every fault ends by nine tenths of the run.
+std::vector<Fault> draw_faults(const Scenario& scenario, std::uint64_t seed);
 
 }  // namespace woadtide::lab::cluster
--- a/src/lab/crash.cpp
+++ b/src/lab/crash.cpp
@@ -26,33 +26,33 @@
 
 namespace fs = std::filesystem;
 
-constexpr int kStepMs = 10;
-constexpr const char* kHang = ":8";  // ms that the disk hangs before an end, and at each sync
+constexpr int kPollIntervalMs = 10;
+constexpr const char* kDelaySuffix = ":8";  // ms that the disk hangs before an end, and at each sync
 
-constexpr double kWorkerDownMs = 80;
-constexpr int kMostOperation = 80, kMostPoints = 200;
+constexpr double kWorkerDowntimeMs = 80;
+constexpr int kMaxFaultOperation = 80, kMaxSweepRuns = 200;
 
-struct Box {
+struct WorkerProcess {
   std::string name;
-  int port = 0, life = 0;
+  int port = 0, incarnation = 0;
   Process process;
-  double up_at = 0;  // when it is started again
+  double restart_at_ms = 0;  // when it is started again
 };
 
-class Arena {
+class CrashTest {
  public:
-  Arena(const CrashSettings& settings, std::string self)
+  CrashTest(const CrashSettings& settings, std::string lab_program)
       : settings_(settings),
-        self_(std::move(self)),
+        lab_program_(std::move(lab_program)),
         random_(settings.seed),
         ports_(free_ports(static_cast<std::size_t>(settings.workers) + 3)) {
     fs::create_directories(settings_.folder);
     for (int i = 0; i < settings_.workers; ++i) {
-      Box& box = boxes_.emplace_back();
-      box.name = "w" + std::to_string(i);
-      box.port = ports_[static_cast<std::size_t>(i) + 3];
-      discovery_.set(box.name, "127.0.0.1:" + std::to_string(box.port));
-      start_box(box);
+      WorkerProcess& worker = workers_.emplace_back();
+      worker.name = "w" + std::to_string(i);
+      worker.port = ports_[static_cast<std::size_t>(i) + 3];
+      discovery_.set(worker.name, "127.0.0.1:" + std::to_string(worker.port));
+      start_worker(worker);
     }
     write_files();
   }
@@ -60,226 +60,232 @@
   CrashReport run() {
     start_dispatcher();
     std::list<std::thread> clients;
-    for (int i = 0; i < settings_.clients; ++i) clients.emplace_back([this, i] { bring_jobs(i); });
-    for (int done = 0; done < settings_.kills; done = kills()) {
-      const double until =
-          clock_.now() + boost::random::exponential_distribution<double>(1 / settings_.gap_ms)(random_);
-      while (clock_.now() < until) look_after();
-      strike();
-      if (kills() / 50 != done / 50)
-        std::fprintf(stderr, "%d of %d kills, %d jobs\n", kills(), settings_.kills, jobs_.load());
+    for (int i = 0; i < settings_.clients; ++i) clients.emplace_back([this, i] { run_client(i); });
+    for (int killed = 0; killed < settings_.kills; killed = kill_count()) {
+      const double deadline_ms = clock_.now() + boost::random::exponential_distribution<double>(
+                                                    1 / settings_.mean_kill_interval_ms)(random_);
+      while (clock_.now() < deadline_ms) restart_ended();
+      kill_random();
+      if (kill_count() / 50 != killed / 50)
+        std::fprintf(stderr, "%d of %d kills, %d jobs\n", kill_count(), settings_.kills, job_count_.load());
     }
-    over_ = true;
+    clients_stop_ = true;
     // What is under way comes to its end with everybody alive.
-    calm_ = true;
-    std::thread caretaker([this] {
-      while (!ended_) look_after();
+    faults_paused_ = true;
+    std::thread restarter([this] {
+      while (!test_over_) restart_ended();
     });
     for (auto& client : clients) client.join();
-    ask_again();
-    ended_ = true;
-    caretaker.join();
+    repeat_inquiries();
+    test_over_ = true;
+    restarter.join();
     dispatcher_.end();
-    for (Box& box : boxes_) box.process.kill();
-    judge_all();
+    for (WorkerProcess& worker : workers_) worker.process.kill();
+    check_records();
     return report_;
   }
 
-  PointsReport run_points(const std::string& kind) {
-    PointsReport report;
+  FaultSweepReport run_fault_sweep(const std::string& kind) {
+    FaultSweepReport report;
     start_dispatcher();
-    bring("first", false);  // the store's own start is not the matter here
-    for (int nth = 1; report.runs < kMostPoints; ++nth) {
+    run_job("first", false);  // the store's own start is not the matter here
+    for (int operation_number = 1; report.runs < kMaxSweepRuns; ++operation_number) {
       dispatcher_.end();
-      start_dispatcher({{"WOADTIDE_FAULT", kind + ':' + std::to_string(nth) + kHang},
+      start_dispatcher({{"WOADTIDE_FAULT", kind + ':' + std::to_string(operation_number) + kDelaySuffix},
                         {"WOADTIDE_FAULT_COUNT", count_path()}});
-      bool died = false;
-      std::atomic<bool> over = false;
-      std::thread caretaker([&] {
-        while (!over) {
+      bool killed_by_fault = false;
+      std::atomic<bool> job_over = false;
+      std::thread restarter([&] {
+        while (!job_over) {
           ::poll(nullptr, 0, 2);
           if (!dispatcher_.ended()) continue;
-          died = true;
+          killed_by_fault = true;
           start_dispatcher();
         }
       });
-      const std::string name = kind + std::to_string(nth);
-      bring(name + "-once", true);
-      bring(name + "-safe", false);
-      over = true;
-      caretaker.join();
+      const std::string name = kind + std::to_string(operation_number);
+      run_job(name + "-once", true);
+      run_job(name + "-safe", false);
+      job_over = true;
+      restarter.join();
       report.runs += 1;
-      report.ended += died ? 1 : 0;
+      report.deaths += killed_by_fault ? 1 : 0;
       dispatcher_.kill();
-      int count = 0;
-      std::ifstream(count_path(), std::ios::binary).read(reinterpret_cast<char*>(&count), sizeof count);
+      int operation_count = 0;
+      std::ifstream(count_path(), std::ios::binary)
+          .read(reinterpret_cast<char*>(&operation_count), sizeof operation_count);
       start_dispatcher();
-      if (!died && count < nth) break;
+      if (!killed_by_fault && operation_count < operation_number) break;
     }
-    ask_again();
+    repeat_inquiries();
     dispatcher_.kill();
-    for (Box& box : boxes_) box.process.kill();
-    judge_all();
+    for (WorkerProcess& worker : workers_) worker.process.kill();
+    check_records();
     report.verdict = report_.verdict;
-    if (report.runs == kMostPoints) report.verdict.lines.push_back("no run passed untouched");
+    if (report.runs == kMaxSweepRuns) report.verdict.lines.push_back("no run passed untouched");
     return report;
   }
 
  private:
   std::string count_path() const { return settings_.folder + "/operations"; }
-  void bring(const std::string& key, bool once) {
+  void run_job(const std::string& key, bool once) {
     JobClient client(ports_[1]);
-    note({key, "asked", once, 0, {}, {}});
-    note(client.bring(key, once, "body of " + key, settings_.budget_ms));
+    record({key, "asked", once, 0, {}, {}});
+    record(client.bring(key, once, "body of " + key, settings_.budget_ms));
   }
-  int kills() const {
+  int kill_count() const {
     return report_.dispatcher_kills + report_.store_kills + report_.worker_kills + report_.both_kills;
   }
-  int dice(int most) { return boost::random::uniform_int_distribution<int>(0, most - 1)(random_); }
+  int random_below(int limit) { return boost::random::uniform_int_distribution<int>(0, limit - 1)(random_); }
 
   void write_files() {
-    const std::string jobs = std::to_string(ports_[1]);
+    const std::string jobs_port = std::to_string(ports_[1]);
     // Plain clients' addresses differ, as nobody passes a socket here; that of jobs is the same.
-    for (const int which : {0, 1})
-      std::ofstream(config_path(which))
-          << config_json(discovery_.list(), discovery_.dial(), ports_[which == 0 ? 0 : 2]).dump(2) << '\n';
+    for (const int config_index : {0, 1})
+      std::ofstream(config_path(config_index))
+          << config_json(discovery_.list(), discovery_.dial(), ports_[config_index == 0 ? 0 : 2]).dump(2)
+          << '\n';
     std::ofstream(settings_.folder + "/operator.toml")
-        << "[jobs]\nenabled = true\nlisten = \"127.0.0.1:" << jobs << "\"\nfolder = \"" << settings_.folder
-        << "/store\"\nlease_ms = 600\nask_every_ms = 30\nanswering_kinds = ["
-        << (settings_.answers ? "\"lab\"" : "") << "]\n";
+        << "[jobs]\nenabled = true\nlisten = \"127.0.0.1:" << jobs_port << "\"\nfolder = \""
+        << settings_.folder << "/store\"\nlease_ms = 600\nask_every_ms = 30\nanswering_kinds = ["
+        << (settings_.workers_answer_inquiries ? "\"lab\"" : "") << "]\n";
   }
 
   void start_dispatcher(std::map<std::string, std::string> environment = {}) {
     // Some of its lives end within the store.
-    if (settings_.faults && !calm_ && dice(2) == 0)
-      environment["WOADTIDE_FAULT"] = "kill:" + std::to_string(1 + dice(kMostOperation)) + kHang;
-    dispatcher_ = Process({settings_.dispatcher, "serve", "--config", config_path(current_), "--operator",
-                           settings_.folder + "/operator.toml"},
+    if (settings_.store_faults && !faults_paused_ && random_below(2) == 0)
+      environment["WOADTIDE_FAULT"] =
+          "kill:" + std::to_string(1 + random_below(kMaxFaultOperation)) + kDelaySuffix;
+    dispatcher_ = Process({settings_.dispatcher_program, "serve", "--config", config_path(active_config_),
+                           "--operator", settings_.folder + "/operator.toml"},
                           environment, settings_.folder + "/dispatcher.log");
   }
-  std::string config_path(int which) const {
-    return settings_.folder + "/config-" + std::to_string(which) + ".json";
+  std::string config_path(int config_index) const {
+    return settings_.folder + "/config-" + std::to_string(config_index) + ".json";
   }
   // The next process starts beside the running one, which then ends in order and lets go of the store.
-  void upgrade() {
-    if (leaving_.alive()) return;
-    leaving_ = std::move(dispatcher_);
-    current_ = 1 - current_;
+  void hot_restart() {
+    if (replaced_.alive()) return;
+    replaced_ = std::move(dispatcher_);
+    active_config_ = 1 - active_config_;
     start_dispatcher();
-    ::kill(leaving_.pid(), SIGTERM);
-    report_.upgrades += 1;
+    ::kill(replaced_.pid(), SIGTERM);
+    report_.hot_restarts += 1;
   }
-  std::string ledger_of(const Box& box) const {
-    return settings_.folder + '/' + box.name + '-' + std::to_string(box.life) + ".ledger";
+  std::string ledger_path(const WorkerProcess& worker) const {
+    return settings_.folder + '/' + worker.name + '-' + std::to_string(worker.incarnation) + ".ledger";
   }
-  void start_box(Box& box) {
-    std::vector<std::string> words = {self_,      "worker",      "--port", std::to_string(box.port),
-                                      "--ledger", ledger_of(box)};
-    if (settings_.answers) words.push_back("--answers");
-    box.process = Process(words, {}, settings_.folder + "/workers.log");
+  void start_worker(WorkerProcess& worker) {
+    std::vector<std::string> arguments = {
+        lab_program_, "worker", "--port", std::to_string(worker.port), "--ledger", ledger_path(worker)};
+    if (settings_.workers_answer_inquiries) arguments.push_back("--answers");
+    worker.process = Process(arguments, {}, settings_.folder + "/workers.log");
   }
 
   // Starts again what has ended.
-  void look_after() {
-    ::poll(nullptr, 0, kStepMs);
+  void restart_ended() {
+    ::poll(nullptr, 0, kPollIntervalMs);
     if (const auto status = dispatcher_.ended()) {
       if (WIFSIGNALED(*status) && WTERMSIG(*status) == SIGKILL) {
         report_.store_kills += 1;
       } else {
-        report_.crashes += 1;
+        report_.unexpected_exits += 1;
         std::fprintf(stderr, "the dispatcher ended by itself, status %d\n", *status);
       }
     }
-    if (const auto status = leaving_.ended(); status && *status != 0 && !WIFSIGNALED(*status))
-      report_.crashes += 1;
+    if (const auto status = replaced_.ended(); status && *status != 0 && !WIFSIGNALED(*status))
+      report_.unexpected_exits += 1;
     if (!dispatcher_.alive()) start_dispatcher();
-    for (Box& box : boxes_)
-      if (!box.process.alive() && clock_.now() >= box.up_at) start_box(box);
+    for (WorkerProcess& worker : workers_)
+      if (!worker.process.alive() && clock_.now() >= worker.restart_at_ms) start_worker(worker);
   }
-  void strike() {
-    const int what = dice(10);
-    if (settings_.upgrades && dice(8) == 0) upgrade();
-    if (what < 6) {
+  void kill_random() {
+    const int choice = random_below(10);
+    if (settings_.hot_restarts && random_below(8) == 0) hot_restart();
+    if (choice < 6) {
       dispatcher_.kill();
       report_.dispatcher_kills += 1;
       return;
     }
-    Box& box = boxes_[static_cast<std::size_t>(dice(settings_.workers))];
-    box.process.kill();
-    if (what == 9) dispatcher_.kill();
-    (what == 9 ? report_.both_kills : report_.worker_kills) += 1;
-    box.up_at = clock_.now() + kWorkerDownMs;
-    if (dice(5) == 0) {  // it comes back with nothing
-      box.life += 1;
-      report_.emptied += 1;
+    WorkerProcess& worker = workers_[static_cast<std::size_t>(random_below(settings_.workers))];
+    worker.process.kill();
+    if (choice == 9) dispatcher_.kill();
+    (choice == 9 ? report_.both_kills : report_.worker_kills) += 1;
+    worker.restart_at_ms = clock_.now() + kWorkerDowntimeMs;
+    if (random_below(5) == 0) {  // it comes back with nothing
+      worker.incarnation += 1;
+      report_.emptied_workers += 1;
     }
   }
 
-  void bring_jobs(int number) {
-    pcg32 random(settings_.seed, static_cast<std::uint64_t>(number) + 1);
+  void run_client(int client_index) {
+    pcg32 random(settings_.seed, static_cast<std::uint64_t>(client_index) + 1);
     JobClient client(ports_[1]);
-    for (int i = 0; !over_; ++i) {
-      const std::string key = "c" + std::to_string(number) + '-' + std::to_string(i);
+    for (int i = 0; !clients_stop_; ++i) {
+      const std::string key = "c" + std::to_string(client_index) + '-' + std::to_string(i);
       const bool once = random() % 5 < 3;
-      note({key, "asked", once, 0, {}, {}});
-      jobs_ += 1;
-      note(client.bring(key, once, "body of " + key + std::string(random() % 2'000, 'x'),
-                        settings_.budget_ms));
+      record({key, "asked", once, 0, {}, {}});
+      job_count_ += 1;
+      record(client.bring(key, once, "body of " + key + std::string(random() % 2'000, 'x'),
+                          settings_.budget_ms));
       ::poll(nullptr, 0, static_cast<int>(random() % 20));
     }
   }
-  void note(const Seen& seen) {
+  void record(const Seen& observation) {
     const std::lock_guard lock(mutex_);
-    seen_.push_back(seen);
+    observations_.push_back(observation);
   }
   // Each end is told again, the same.
-  void ask_again() {
+  void repeat_inquiries() {
     JobClient client(ports_[1]);
-    for (const Seen& one : std::vector<Seen>(seen_)) {
-      if (one.what != "told" || one.state == "refused") continue;
-      std::optional<Heard> heard;
-      for (int i = 0; i < 300 && (!heard || (heard->status == 503 && heard->state.empty())); ++i) {
-        if (i > 0) ::poll(nullptr, 0, kStepMs);
-        heard = client.get(one.key, 0, client.now() + 1'000);
+    for (const Seen& observation : std::vector<Seen>(observations_)) {
+      if (observation.what != "told" || observation.state == "refused") continue;
+      std::optional<Heard> response;
+      for (int i = 0; i < 300 && (!response || (response->status == 503 && response->state.empty())); ++i) {
+        if (i > 0) ::poll(nullptr, 0, kPollIntervalMs);
+        response = client.get(observation.key, 0, client.now() + 1'000);
       }
-      if (heard) note({one.key, "told", one.once, heard->status, heard->state, heard->body});
+      if (response)
+        record(
+            {observation.key, "told", observation.once, response->status, response->state, response->body});
     }
   }
-  void judge_all() {
+  void check_records() {
     {
       std::ofstream history(history_of(settings_.folder));
-      for (const Seen& one : seen_) history << line_of(one) << '\n';
+      for (const Seen& observation : observations_) history << line_of(observation) << '\n';
     }
     report_.verdict = judge_folder(settings_.folder);
   }
 
   const CrashSettings settings_;
-  const std::string self_;
+  const std::string lab_program_;
   core::Clock clock_;
   pcg32 random_;
   const std::vector<int> ports_;
   Discovery discovery_;
-  std::vector<Box> boxes_;
-  Process dispatcher_, leaving_;
-  int current_ = 0;  // whose config the running one has
+  std::vector<WorkerProcess> workers_;
+  Process dispatcher_, replaced_;
+  int active_config_ = 0;  // whose config the running one has
   std::mutex mutex_;
-  std::vector<Seen> seen_;
-  std::atomic<int> jobs_{0};
-  std::atomic<bool> over_{false}, calm_{false}, ended_{false};
+  std::vector<Seen> observations_;
+  std::atomic<int> job_count_{0};
+  std::atomic<bool> clients_stop_{false}, faults_paused_{false}, test_over_{false};
   CrashReport report_;
 };
 
 }  // namespace
 
-PointsReport run_points(const CrashSettings& settings, const std::string& kind, const std::string& self) {
-  CrashSettings calm = settings;
-  calm.workers = 1;
-  calm.faults = false;
-  return Arena(calm, self).run_points(kind);
+FaultSweepReport run_fault_sweep(const CrashSettings& settings, const std::string& kind,
+                                 const std::string& lab_program) {
+  CrashSettings sweep_settings = settings;
+  sweep_settings.workers = 1;
+  sweep_settings.store_faults = false;
+  return CrashTest(sweep_settings, lab_program).run_fault_sweep(kind);
 }
 
-CrashReport run_crash(const CrashSettings& settings, const std::string& self) {
-  return Arena(settings, self).run();
+CrashReport run_crash_test(const CrashSettings& settings, const std::string& lab_program) {
+  return CrashTest(settings, lab_program).run();
 }
 
 }  // namespace woadtide::lab
