--- a/src/lab/crash.cpp
+++ b/src/lab/crash.cpp
@@ -27,7 +27,7 @@
 namespace fs = std::filesystem;
 
 constexpr int kPollIntervalMs = 10;
-constexpr const char* kDelaySuffix = ":8";  // ms that the disk hangs before an end, and at each sync
+constexpr const char* kDelaySuffix = ":8";  // delay in ms before a kill and at each sync, as of a slow disk
 
 constexpr double kWorkerDowntimeMs = 80;
 constexpr int kMaxFaultOperation = 80, kMaxSweepRuns = 200;
@@ -36,7 +36,7 @@
   std::string name;
   int port = 0, incarnation = 0;
   Process process;
-  double restart_at_ms = 0;  // when it is started again
+  double restart_at_ms = 0;  // not restarted before
 };
 
 class CrashTest {
@@ -70,7 +70,7 @@
         std::fprintf(stderr, "%d of %d kills, %d jobs\n", kill_count(), settings_.kills, job_count_.load());
     }
     clients_stop_ = true;
-    // What is under way comes to its end with everybody alive.
+    // Jobs in progress finish with all processes running.
     faults_paused_ = true;
     std::thread restarter([this] {
       while (!test_over_) restart_ended();
@@ -88,7 +88,7 @@
   FaultSweepReport run_fault_sweep(const std::string& kind) {
     FaultSweepReport report;
     start_dispatcher();
-    run_job("first", false);  // the store's own start is not the matter here
+    run_job("first", false);  // creates the store, whose first operations are not part of the sweep
     for (int operation_number = 1; report.runs < kMaxSweepRuns; ++operation_number) {
       dispatcher_.end();
       start_dispatcher({{"WOADTIDE_FAULT", kind + ':' + std::to_string(operation_number) + kDelaySuffix},
@@ -122,7 +122,7 @@
     for (WorkerProcess& worker : workers_) worker.process.kill();
     check_records();
     report.verdict = report_.verdict;
-    if (report.runs == kMaxSweepRuns) report.verdict.lines.push_back("no run passed untouched");
+    if (report.runs == kMaxSweepRuns) report.verdict.lines.push_back("every run reached its fault");
     return report;
   }
 
@@ -140,7 +140,8 @@
 
   void write_files() {
     const std::string jobs_port = std::to_string(ports_[1]);
-    // Plain clients' addresses differ, as nobody passes a socket here; that of jobs is the same.
+    // The addresses of plain clients differ, because no listening socket is passed on here; the address for
+    // jobs is the same.
     for (const int config_index : {0, 1})
       std::ofstream(config_path(config_index))
           << config_json(discovery_.list(), discovery_.dial(), ports_[config_index == 0 ? 0 : 2]).dump(2)
@@ -152,7 +153,7 @@
   }
 
   void start_dispatcher(std::map<std::string, std::string> environment = {}) {
-    // Some of its lives end within the store.
+    // Half of the dispatcher processes end within a store operation.
     if (settings_.store_faults && !faults_paused_ && random_below(2) == 0)
       environment["WOADTIDE_FAULT"] =
           "kill:" + std::to_string(1 + random_below(kMaxFaultOperation)) + kDelaySuffix;
@@ -163,7 +164,7 @@
   std::string config_path(int config_index) const {
     return settings_.folder + "/config-" + std::to_string(config_index) + ".json";
   }
-  // The next process starts beside the running one, which then ends in order and lets go of the store.
+  // The successor starts beside the running process, which then shuts down and releases the store.
   void hot_restart() {
     if (replaced_.alive()) return;
     replaced_ = std::move(dispatcher_);
@@ -182,7 +183,7 @@
     worker.process = Process(arguments, {}, settings_.folder + "/workers.log");
   }
 
-  // Starts again what has ended.
+  // Restarts processes that have exited.
   void restart_ended() {
     ::poll(nullptr, 0, kPollIntervalMs);
     if (const auto status = dispatcher_.ended()) {
@@ -190,7 +191,7 @@
         report_.store_kills += 1;
       } else {
         report_.unexpected_exits += 1;
-        std::fprintf(stderr, "the dispatcher ended by itself, status %d\n", *status);
+        std::fprintf(stderr, "the dispatcher exited unexpectedly, status %d\n", *status);
       }
     }
     if (const auto status = replaced_.ended(); status && *status != 0 && !WIFSIGNALED(*status))
@@ -212,7 +213,7 @@
     if (choice == 9) dispatcher_.kill();
     (choice == 9 ? report_.both_kills : report_.worker_kills) += 1;
     worker.restart_at_ms = clock_.now() + kWorkerDowntimeMs;
-    if (random_below(5) == 0) {  // it comes back with nothing
+    if (random_below(5) == 0) {  // the worker restarts with an empty ledger
       worker.incarnation += 1;
       report_.emptied_workers += 1;
     }
@@ -235,7 +236,7 @@
     const std::lock_guard lock(mutex_);
     observations_.push_back(observation);
   }
-  // Each end is told again, the same.
+  // Asks for each final answer again; it must be the same.
   void repeat_inquiries() {
     JobClient client(ports_[1]);
     for (const Seen& observation : std::vector<Seen>(observations_)) {
@@ -266,7 +267,7 @@
   Discovery discovery_;
   std::vector<WorkerProcess> workers_;
   Process dispatcher_, replaced_;
-  int active_config_ = 0;  // whose config the running one has
+  int active_config_ = 0;  // configuration of the running dispatcher
   std::mutex mutex_;
   std::vector<Seen> observations_;
   std::atomic<int> job_count_{0};
--- a/src/lab/fault_vfs.hpp
+++ b/src/lab/fault_vfs.hpp
@@ -1,5 +1,5 @@
-// Faults under the store: an SQLite VFS that stands before the machine's own and counts every write,
-// truncation and sync of the files. For tests and measurements; nothing of the dispatcher links it.
+// Fault injection below the store: an SQLite VFS that wraps the default one and counts every write,
+// truncation and sync of files. For tests and benchmarks; the dispatcher does not link it.
 #pragma once
 
 #include <atomic>
@@ -7,27 +7,28 @@
 
 namespace woadtide::lab {
 
+// What happens at the Nth operation. The names are those of $WOADTIDE_FAULT, in this order.
 enum class Fault {
   none,
-  kill,  // the process ends by SIGKILL before the Nth operation
-  torn,  // the process ends by SIGKILL after half of the Nth operation's bytes
-  dead,  // as kill, but within the test: from the Nth operation on nothing reaches the file and all fails
-  tear,  // as dead, but half of the Nth operation's bytes are written
-  fail,  // the Nth operation fails, the later ones go on
-  full,  // the same, by ENOSPC
+  kill,  // the process gets SIGKILL before the Nth operation
+  torn,  // the process gets SIGKILL after half of the bytes of the Nth operation
+  dead,  // simulates kill within the test: from the Nth operation on all fail and nothing reaches the file
+  tear,  // as dead, but half of the bytes of the Nth operation are written
+  fail,  // the Nth operation fails, later ones succeed
+  full,  // as fail, with a full disk (ENOSPC)
 };
 
-// Becomes SQLite's default VFS; once for a process.
+// Installs the VFS as SQLite's default; further calls do nothing.
 void install_fault_vfs();
-// From here on, with the count at 0. `delay_ms` is added to each sync, for a slow disk, and
-// before a kill.
-void set_fault(Fault fault, int nth, double delay_ms = 0);
-// Operations counted since set_fault().
+// Sets the fault and resets the count to 0. `delay_ms` is added to each sync, as of a slow disk, and before a
+// kill.
+void set_fault(Fault fault, int operation_number, double delay_ms = 0);
+// Number of operations since set_fault().
 int fault_operations();
-// Counts there from now on: another process can read it, whatever becomes of this one.
-void count_faults_in(std::atomic<int>* where);
-// "kill:17", "fail:3", "none:0:5" (the third is the delay): as in $WOADTIDE_FAULT. Throws
-// std::invalid_argument.
+// Counts in `counter` from now on: in shared memory it outlives this process.
+void count_faults_in(std::atomic<int>* counter);
+// Sets a fault from the text form of $WOADTIDE_FAULT, KIND:N or KIND:N:DELAY_MS, such as "kill:17" or
+// "none:0:5". Throws std::invalid_argument.
 void set_fault(const std::string& text);
 
 }  // namespace woadtide::lab
--- a/src/lab/flawed.cpp
+++ b/src/lab/flawed.cpp
@@ -1,7 +1,7 @@
-// A copy of the dispatcher for tests of a rolling change. A line at the end of its own file,
-// "flaw:KIND@WHERE", says what it does wrong, and where: at the dispatcher of that name or in that zone, or
-// everywhere without it. Whoever copies the program and adds such a line has a new version of it; without one
-// it is the program itself.
+// Fault-injecting dispatcher for tests of a rolling change. A line "flaw:KIND@WHERE" at the end of its own
+// executable selects the defect, and the dispatcher name or zone in which it applies (everywhere without
+// @WHERE). A copy of the program with such a line added is a new, defective version of it; without a line it
+// is the normal program.
 #include <unistd.h>
 
 #include <array>
@@ -22,32 +22,35 @@
 
 using namespace woadtide;
 
+// Defect of this program. `kind`: start, never, load, payouts, class, slow, leak, check or none; `target`:
+// the dispatcher name or zone in which it applies, empty for everywhere.
 struct Flaw {
-  std::string kind, where;
+  std::string kind, target;
 };
 
-Flaw flaw_of_this_file() {
+// Reads the flaw from the last bytes of the running executable.
+Flaw read_own_flaw() {
   std::ifstream file("/proc/self/exe", std::ios::binary | std::ios::ate);
-  std::array<char, 80> end{};
-  file.seekg(-static_cast<std::streamoff>(end.size()), std::ios::end);
-  file.read(end.data(), end.size());
-  const std::string text(end.data(), end.size());
-  const std::size_t at = text.rfind("\nflaw:");
-  if (at == std::string::npos) return {};
-  const std::string line = text.substr(at + 6, text.find('\n', at + 6) - at - 6);
-  const std::size_t split = std::min(line.find('@'), line.size());
-  return {line.substr(0, split), line.substr(std::min(split + 1, line.size()))};
+  std::array<char, 80> tail{};
+  file.seekg(-static_cast<std::streamoff>(tail.size()), std::ios::end);
+  file.read(tail.data(), tail.size());
+  const std::string text(tail.data(), tail.size());
+  const std::size_t marker = text.rfind("\nflaw:");
+  if (marker == std::string::npos) return {};
+  const std::string line = text.substr(marker + 6, text.find('\n', marker + 6) - marker - 6);
+  const std::size_t separator = std::min(line.find('@'), line.size());
+  return {line.substr(0, separator), line.substr(std::min(separator + 1, line.size()))};
 }
 
-constexpr int kUnderLoad = 150;      // executions until it crashes
-constexpr int kLeakBytes = 120'000;  // an execution
-constexpr int kSlowMs = 25;          // one execution in kSlowEvery holds the loop up so long
-constexpr unsigned kSlowEvery = 12, kPayoutEvery = 12;
+constexpr int kCrashAfterExecutions = 150;
+constexpr int kLeakBytesPerExecution = 120'000;
+constexpr int kStallMs = 25;  // every kStallEveryNth-th execution blocks the event loop so long
+constexpr unsigned kStallEveryNth = 12, kFailEveryNthPayout = 12;
 
-// Stands between the loop and the links to workers.
-class Flawed : public Addition, private core::Executor {
+// Intercepts executions between the event loop and the server links.
+class FaultInjectingExtension : public Addition, private core::Executor {
  public:
-  Flawed(const Parts& parts, std::string kind)
+  FaultInjectingExtension(const Parts& parts, std::string kind)
       : links_(parts.links), inbox_(parts.inbox), kind_(std::move(kind)) {}
   core::Executor& executor() override { return *this; }
   core::Witness* witness() override { return nullptr; }
@@ -58,17 +61,18 @@
 
  private:
   void start(core::Execution execution) override {
-    count_ += 1;
+    execution_count_ += 1;
     const bool payout = execution.parcel.fields.find("refund-payout") != std::string_view::npos;
-    if (kind_ == "load" && count_ > kUnderLoad) std::abort();
-    if (kind_ == "slow" && count_ % kSlowEvery == 0)
-      std::this_thread::sleep_for(std::chrono::milliseconds(kSlowMs));
-    if (kind_ == "leak") leaked_.emplace_back(kLeakBytes, 'x');
-    if ((kind_ == "payouts" && payout && ++payouts_ % kPayoutEvery == 0) || (kind_ == "class" && payout)) {
-      core::ExecutionEnded ended;
-      ended.key = execution.key;
-      ended.status = Status::error;
-      return inbox_.put(std::move(ended));
+    if (kind_ == "load" && execution_count_ > kCrashAfterExecutions) std::abort();
+    if (kind_ == "slow" && execution_count_ % kStallEveryNth == 0)
+      std::this_thread::sleep_for(std::chrono::milliseconds(kStallMs));
+    if (kind_ == "leak") leaked_.emplace_back(kLeakBytesPerExecution, 'x');
+    if ((kind_ == "payouts" && payout && ++payout_count_ % kFailEveryNthPayout == 0) ||
+        (kind_ == "class" && payout)) {
+      core::ExecutionEnded failure;
+      failure.key = execution.key;
+      failure.status = Status::error;
+      return inbox_.put(std::move(failure));
     }
     links_.start(std::move(execution));
   }
@@ -80,20 +84,20 @@
   core::Executor& links_;
   core::Inbox& inbox_;
   const std::string kind_;
-  int count_ = 0;
-  unsigned payouts_ = 0;
+  int execution_count_ = 0;
+  unsigned payout_count_ = 0;
   std::vector<std::string> leaked_;
 };
 
-// The config's name and zone: what its supervisor passes behind --config.
-bool is_here(const Flaw& flaw, int argc, char** argv) {
-  if (flaw.where.empty()) return true;
+// Whether the configuration that the supervisor passes with --config has the name or zone of the flaw.
+bool applies_here(const Flaw& flaw, int argc, char** argv) {
+  if (flaw.target.empty()) return true;
   for (int i = 1; i + 1 < argc; ++i) {
     if (std::string(argv[i]) != "--config") continue;
     std::ifstream file(argv[i + 1]);
     const auto config = nlohmann::json::parse(file, nullptr, false);
     return config.is_object() &&
-           (config.value("name", "") == flaw.where || config["settings"].value("MyZone", "") == flaw.where);
+           (config.value("name", "") == flaw.target || config["settings"].value("MyZone", "") == flaw.target);
   }
   return false;
 }
@@ -101,22 +105,23 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  Flaw flaw = flaw_of_this_file();
-  const bool serves = argc > 1 && std::string(argv[1]) == "serve";
-  if (serves && !is_here(flaw, argc, argv)) flaw = {};
-  if (serves && flaw.kind == "start") {
-    std::cerr << "flawed: ends at its start" << std::endl;
+  Flaw flaw = read_own_flaw();
+  const bool is_serve_command = argc > 1 && std::string(argv[1]) == "serve";
+  if (is_serve_command && !applies_here(flaw, argc, argv)) flaw = {};
+  if (is_serve_command && flaw.kind == "start") {
+    std::cerr << "flawed: exits at startup" << std::endl;
     return 1;
   }
-  if (serves && flaw.kind == "never") {
+  if (is_serve_command && flaw.kind == "never") {
     std::signal(SIGTERM, SIG_DFL);
     for (;;) ::pause();
   }
   if (flaw.kind.empty() || flaw.kind == "none") return run_program(argc, argv);
   if (flaw.kind == "check" && argc > 1 && std::string(argv[1]) == "check-config") {
-    std::cerr << "flawed: cannot take this config" << std::endl;
+    std::cerr << "flawed: rejects this configuration" << std::endl;
     return 2;
   }
-  return run_program(argc, argv,
-                     [&](const Parts& parts) { return std::make_unique<Flawed>(parts, flaw.kind); });
+  return run_program(argc, argv, [&](const Parts& parts) {
+    return std::make_unique<FaultInjectingExtension>(parts, flaw.kind);
+  });
 }
