--- a/src/lab/acceptor.cpp
+++ b/src/lab/acceptor.cpp
@@ -14,27 +14,29 @@
 namespace woadtide::lab {
 
 namespace {
-constexpr double kReapMs = 1'000;
-constexpr int kFullMs = 5;  // how long to wait where there is no room, before another look
+constexpr double kReapIntervalMs = 1'000;
+constexpr int kFullRetryMs = 5;  // wait before the next check at the link limit or without descriptors
 }  // namespace
 
-Acceptor::Acceptor(std::string name, Socket listener, std::size_t most, const core::Clock& clock, Serve serve)
+Acceptor::Acceptor(std::string name, Socket listener, std::size_t max_links, const core::Clock& clock,
+                   LinkHandler handler)
     : name_(std::move(name)),
-      most_(most),
+      max_links_(max_links),
       clock_(clock),
-      serve_(std::move(serve)),
+      handler_(std::move(handler)),
       listener_(std::move(listener)),
       port_(listener_.port()),
-      wake_(::eventfd(0, EFD_CLOEXEC)) {
-  if (!wake_) throw std::system_error(errno, std::generic_category(), "eventfd");
-  // A client that gave up between poll and accept must not block the thread.
+      stop_event_(::eventfd(0, EFD_CLOEXEC)) {
+  if (!stop_event_) throw std::system_error(errno, std::generic_category(), "eventfd");
+  // A connection that was aborted between poll and accept must not block the thread.
   ::fcntl(listener_.fd(), F_SETFL, O_NONBLOCK);
   thread_ = park::Thread(name_, [this] { run(); });
 }
 
 Acceptor::~Acceptor() {
-  const std::uint64_t one = 1;
-  if (::write(wake_.get(), &one, sizeof one) < 0) core::log_line(name_ + ": cannot be woken");
+  const std::uint64_t signal = 1;
+  if (::write(stop_event_.get(), &signal, sizeof signal) < 0)
+    core::log_line(name_ + ": cannot wake the accept thread");
   thread_.join();
   {
     const std::lock_guard lock(mutex_);
@@ -44,26 +46,27 @@
   links_.clear();
 }
 
-std::size_t Acceptor::open() {
+std::size_t Acceptor::open_count() {
   const std::lock_guard lock(mutex_);
   return links_.size();
 }
 
 void Acceptor::run() {
   for (;;) {
-    const bool full = reap() >= most_;
-    const auto [come, woken] =
-        full ? net::wait_for(wake_.get(), POLLIN, -1, clock_.now() + kFullMs, clock_)
-             : net::wait_for(listener_.fd(), POLLIN, wake_.get(), clock_.now() + kReapMs, clock_);
-    if (full ? come != 0 : woken != 0) return;
-    if (!full && come != 0) accept_one();
+    const bool full = join_finished() >= max_links_;
+    const auto [ready, stopped] =
+        full ? net::wait_for(stop_event_.get(), POLLIN, -1, clock_.now() + kFullRetryMs, clock_)
+             : net::wait_for(listener_.fd(), POLLIN, stop_event_.get(), clock_.now() + kReapIntervalMs,
+                             clock_);
+    if (full ? ready != 0 : stopped != 0) return;
+    if (!full && ready != 0) accept_link();
   }
 }
 
-void Acceptor::accept_one() {
+void Acceptor::accept_link() {
   Socket socket{Fd(::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
   if (!socket) {
-    if (errno == EMFILE || errno == ENFILE) ::poll(nullptr, 0, kFullMs);
+    if (errno == EMFILE || errno == ENFILE) ::poll(nullptr, 0, kFullRetryMs);
     return;
   }
   socket.set_no_delay();
@@ -73,27 +76,27 @@
   try {
     link.thread = park::Thread(name_, [this, &link] {
       try {
-        serve_(link.socket);
-      } catch (const std::exception& failed) {
-        core::log_line(name_ + ": " + failed.what());
+        handler_(link.socket);
+      } catch (const std::exception& error) {
+        core::log_line(name_ + ": " + error.what());
       }
       const std::lock_guard end(mutex_);
       link.socket = Socket{};
-      link.over = true;
+      link.finished = true;
     });
-  } catch (const std::exception& failed) {
-    core::log_line(name_ + ": " + failed.what());
+  } catch (const std::exception& error) {
+    core::log_line(name_ + ": " + error.what());
     links_.pop_back();
   }
 }
 
-// Joins the threads of links that are over. How many are left.
-std::size_t Acceptor::reap() {
-  std::list<Link> over;
+// Joins the threads of finished links. Returns the number of remaining links.
+std::size_t Acceptor::join_finished() {
+  std::list<Link> finished;
   const std::lock_guard lock(mutex_);
   for (auto it = links_.begin(); it != links_.end();) {
     const auto next = std::next(it);
-    if (it->over) over.splice(over.end(), links_, it);
+    if (it->finished) finished.splice(finished.end(), links_, it);
     it = next;
   }
   return links_.size();
--- a/src/lab/acceptor.hpp
+++ b/src/lab/acceptor.hpp
@@ -1,5 +1,5 @@
-// Takes links at a listener and gives each a thread, up to a bound; at the bound the next ones wait in the
-// kernel.
+// Accepts links on a listening socket and serves each on its own thread, up to a limit. At the limit further
+// connections wait in the kernel's backlog.
 #pragma once
 
 #include <functional>
@@ -15,39 +15,43 @@
 using net::Socket;
 using park::Fd;
 
+// Thread-per-link server.
 class Acceptor {
  public:
-  // `serve` runs on the link's thread and returns when the link is to be closed.
-  using Serve = std::function<void(Socket&)>;
-  Acceptor(std::string name, Socket listener, std::size_t most, const core::Clock& clock, Serve serve);
-  // Shuts all links and waits for their threads.
+  // Runs on the thread of a link; the link is closed when it returns.
+  using LinkHandler = std::function<void(Socket&)>;
+  // Starts accepting on `listener`. `name`: of the threads and in log lines.
+  Acceptor(std::string name, Socket listener, std::size_t max_links, const core::Clock& clock,
+           LinkHandler handler);
+  // Shuts down all links and waits for their threads.
   ~Acceptor();
   Acceptor(const Acceptor&) = delete;
   Acceptor& operator=(const Acceptor&) = delete;
 
   int port() const { return port_; }
-  std::size_t open();
+  // Number of links whose thread has not been joined yet.
+  std::size_t open_count();
 
  private:
   struct Link {
-    Socket socket;  // its thread uses it; closed and shut under the mutex
-    bool over = false;
-    park::Thread thread;  // last
+    Socket socket;  // used by its thread; closed and shut down under the mutex
+    bool finished = false;
+    park::Thread thread;  // declared last: it uses the other members
   };
   void run();
-  void accept_one();
-  std::size_t reap();
+  void accept_link();
+  std::size_t join_finished();
 
   const std::string name_;
-  const std::size_t most_;
+  const std::size_t max_links_;
   const core::Clock& clock_;
-  const Serve serve_;
+  const LinkHandler handler_;
   Socket listener_;
   const int port_;
-  Fd wake_;
+  Fd stop_event_;
   std::mutex mutex_;
   std::list<Link> links_;
-  park::Thread thread_;  // last: it uses all the others
+  park::Thread thread_;  // declared last: it uses the other members
 };
 
 }  // namespace woadtide::lab
--- a/src/lab/cluster/change_judge.cpp
+++ b/src/lab/cluster/change_judge.cpp
@@ -26,8 +26,8 @@
   std::string summary_text =
       "change: " + outcome + (reason.empty() ? "" : " (" + reason + ")") + ", most on the new version " +
       std::to_string(most_on_new) + ", for " + std::to_string(static_cast<int>(new_ms)) + " ms; pauses " +
-      std::to_string(pauses.size()) + ", over its stage " + std::to_string(over_stage) + ", untrue ends " +
-      std::to_string(untrue) + ", without an end " + std::to_string(no_end);
+      std::to_string(pauses.size()) + ", starts beyond the stage " + std::to_string(over_stage) +
+      ", members on the wrong version " + std::to_string(untrue) + ", unfinished " + std::to_string(no_end);
   return summary_text;
 }
 
--- a/src/lab/discovery.hpp
+++ b/src/lab/discovery.hpp
@@ -1,4 +1,5 @@
-// Stand-in discovery on a loopback socket: the whole list, and a watch that tells every change at once.
+// Test service discovery on a loopback socket: serves the complete list, and a watch that sends each change
+// at once.
 #pragma once
 
 #include <atomic>
@@ -12,40 +13,43 @@
 
 namespace woadtide::lab {
 
+// In-process service discovery for tests and benchmarks. Thread-safe.
 class Discovery {
  public:
   Discovery();
   ~Discovery();
 
+  // Address for dispatchers.
   std::string dial() const { return "127.0.0.1:" + std::to_string(acceptor_.port()); }
-  // `health`: "Ready", "Terminating", "Gone".
+  // Adds or changes a worker. `health`: "Ready", "Terminating", "Gone"; `kind`: its class.
   void set(const std::string& host, const std::string& dial, const std::string& health = "Ready",
            const std::string& kind = "lab");
+  // The current list as JSON.
   std::string list();
-  // While it is down calls are refused, and open watches end.
+  // While it is down, calls are refused and open watches end.
   void set_down(bool down) { down_ = down; }
-  // From here on a call is answered so many ms after it came.
+  // Delays the answers to further calls.
   void set_answer_delay_ms(double delay_ms) { answer_delay_ms_ = delay_ms; }
-  // The watches that are open now stay so, and tell nothing more.
-  void silence_watches() { silenced_ += 1; }
-  // When it was first written to anybody that this worker is not ready, ms of the clock.
+  // Keeps the currently open watches open, but sends nothing more on them.
+  void silence_watches() { silence_count_ += 1; }
+  // When a list in which the worker is not ready was first sent to any caller, in ms of the clock.
   std::optional<double> told_not_ready(const std::string& host);
 
  private:
   void serve(net::Socket& socket);
-  void follow(net::Socket& socket);
+  void serve_watch(net::Socket& socket);
   bool write(net::Socket& socket, const std::string& text);
-  bool write_list(net::Socket& socket, int& told);
+  bool write_list_if_changed(net::Socket& socket, int& sent_seq);
 
   core::Clock clock_;
   std::mutex mutex_;
-  std::map<std::string, std::string> hosts_;  // entries as JSON
-  std::map<std::string, double> told_not_ready_;
+  std::map<std::string, std::string> endpoints_;  // JSON entries by host
+  std::map<std::string, double> not_ready_sent_at_;
   int seq_ = 1;
-  std::atomic<bool> ending_{false}, down_{false};
+  std::atomic<bool> stopping_{false}, down_{false};
   std::atomic<double> answer_delay_ms_{0};
-  std::atomic<int> silenced_{0};  // grows with each silence
-  Acceptor acceptor_;             // last
+  std::atomic<int> silence_count_{0};  // number of silence_watches() calls
+  Acceptor acceptor_;                  // declared last: its threads use the other members
 };
 
 }  // namespace woadtide::lab
--- a/src/lab/fleet_sim.cpp
+++ b/src/lab/fleet_sim.cpp
@@ -20,10 +20,10 @@
 
 namespace {
 
-constexpr double kTurnMs = 1'000, kMostS = 6 * 3'600;
-constexpr double kBadEveryS = 90, kBadForS = 12;  // a zone has trouble now and then
+constexpr double kStepMs = 1'000, kMaxSimulatedS = 6 * 3'600;
+constexpr double kOutagePeriodS = 90, kOutageS = 12;  // every zone in turn has an outage
 
-struct Box {
+struct SimulatedDispatcher {
   std::string name, zone;
   double weight = 1;
   bool runs_new = false;
@@ -32,125 +32,127 @@
   double cpu_ms = 0;
 };
 
-double cpu_now() { return 1e3 * static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
+double cpu_time_ms() { return 1e3 * static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
 
 }  // namespace
 
-FleetSimResult simulate(const FleetSim& setup, std::uint64_t seed) {
+FleetSimResult simulate(const FleetSim& simulation, std::uint64_t seed) {
   pcg32 random(seed);
-  const auto share = [&] { return boost::random::uniform_real_distribution<double>(0, 1)(random); };
-  config::RolloutPart part;
-  std::map<std::string, Box> boxes;
-  double weights = 0;
-  for (int i = 0; i < setup.dispatchers; ++i) {
-    Box box;
-    box.name = "n" + std::to_string(i);
-    box.zone = std::string(1, static_cast<char>('a' + i % setup.zones));
-    // Most see little, some several times the mean.
-    box.weight = boost::random::lognormal_distribution<double>(0, 0.9)(random);
-    weights += box.weight;
-    part.members.push_back({box.name, box.zone, box.name});
-    boxes[box.name] = box;
+  const auto random_share = [&] { return boost::random::uniform_real_distribution<double>(0, 1)(random); };
+  config::RolloutPart settings;
+  std::map<std::string, SimulatedDispatcher> dispatchers;
+  double total_weight = 0;
+  for (int i = 0; i < simulation.dispatchers; ++i) {
+    SimulatedDispatcher dispatcher;
+    dispatcher.name = "n" + std::to_string(i);
+    dispatcher.zone = std::string(1, static_cast<char>('a' + i % simulation.zones));
+    // Most dispatchers get little traffic, some several times the mean.
+    dispatcher.weight = boost::random::lognormal_distribution<double>(0, 0.9)(random);
+    total_weight += dispatcher.weight;
+    settings.members.push_back({dispatcher.name, dispatcher.zone, dispatcher.name});
+    dispatchers[dispatcher.name] = dispatcher;
   }
-  part.stages = setup.stages;
-  part.look_ms = setup.look_s * 1e3;
-  part.bake_ms = setup.bake_s * 1e3;
-  part.patience_ms = setup.patience_s * 1e3;
-  part.margin = setup.margin;
-  std::map<std::string, double> traffic;
-  for (const auto& [name, box] : boxes) traffic[name] = box.weight;
-  control::order_by_traffic(part.members, traffic);
-  rollout::Rollout rollout(control::plan_of(part, "sim"));
-  control::Assessor assessor(part);
+  settings.stages = simulation.stages;
+  settings.look_ms = simulation.look_s * 1e3;
+  settings.bake_ms = simulation.bake_s * 1e3;
+  settings.patience_ms = simulation.patience_s * 1e3;
+  settings.margin = simulation.margin;
+  std::map<std::string, double> traffic_by_name;
+  for (const auto& [name, dispatcher] : dispatchers) traffic_by_name[name] = dispatcher.weight;
+  control::order_by_traffic(settings.members, traffic_by_name);
+  rollout::Rollout rollout(control::plan_of(settings, "sim"));
+  control::Assessor assessor(settings);
   FleetSimResult result;
-  struct Due {
-    double at;
+  struct PendingOrder {
+    double at_ms;
     Order order;
   };
-  std::vector<Due> due;
-  std::map<std::string, std::uint64_t> sent;
-  const double all_rate = setup.rate * setup.dispatchers;
-  double first_new = 0, cpu = 0;
-  std::size_t turns = 0;
-  for (double now = 1'000; now < kMostS * 1e3 && !rollout.over() && rollout.paused().empty();
-       now += kTurnMs) {
-    // One second of service.
-    const int bad_zone = setup.troubles && std::fmod(now / 1e3, kBadEveryS) < kBadForS
-                             ? static_cast<int>(now / 1e3 / kBadEveryS) % setup.zones
-                             : -1;
+  std::vector<PendingOrder> pending_orders;
+  std::map<std::string, std::uint64_t> sent_orders;
+  const double total_rate = simulation.rate * simulation.dispatchers;
+  double first_new_ms = 0, total_cpu_ms = 0;
+  std::size_t step_count = 0;
+  for (double now = 1'000; now < kMaxSimulatedS * 1e3 && !rollout.over() && rollout.paused().empty();
+       now += kStepMs) {
+    // Simulates one second of load.
+    const int outage_zone = simulation.troubles && std::fmod(now / 1e3, kOutagePeriodS) < kOutageS
+                                ? static_cast<int>(now / 1e3 / kOutagePeriodS) % simulation.zones
+                                : -1;
     std::map<std::string, control::Sample> samples;
-    for (auto& [name, box] : boxes) {
-      const bool bad = box.zone[0] - 'a' == bad_zone;
-      const double mean = all_rate * box.weight / weights * (0.5 + share());
-      for (const auto& [kind, of] : {std::pair{"receipt-check", 0.62}, std::pair{"refund-payout", 0.38}}) {
-        core::ClassFigures& figures = box.figures[kind];
-        const int asked = boost::random::poisson_distribution<int>(std::max(mean * of, 1e-3))(random);
-        const bool hit = box.runs_new && std::string(kind) == "refund-payout";
-        for (int i = 0; i < asked; ++i) {
+    for (auto& [name, dispatcher] : dispatchers) {
+      const bool in_outage = dispatcher.zone[0] - 'a' == outage_zone;
+      const double mean_queries = total_rate * dispatcher.weight / total_weight * (0.5 + random_share());
+      for (const auto& [kind, class_share] :
+           {std::pair{"receipt-check", 0.62}, std::pair{"refund-payout", 0.38}}) {
+        core::ClassFigures& figures = dispatcher.figures[kind];
+        const int query_count =
+            boost::random::poisson_distribution<int>(std::max(mean_queries * class_share, 1e-3))(random);
+        const bool has_defect = dispatcher.runs_new && std::string(kind) == "refund-payout";
+        for (int i = 0; i < query_count; ++i) {
           figures.asked += 1;
-          const double draw = share();
-          const double failed = bad ? 0.25 : 0.003, refused = bad ? 0.2 : 0.01;
-          if (draw < failed) {
+          const double outcome_draw = random_share();
+          const double failed_share = in_outage ? 0.25 : 0.003, refused_share = in_outage ? 0.2 : 0.01;
+          if (outcome_draw < failed_share) {
             figures.failed += 1;
-          } else if (draw < failed + refused) {
+          } else if (outcome_draw < failed_share + refused_share) {
             figures.refused += 1;
-          } else if (hit && share() < setup.failed) {
+          } else if (has_defect && random_share() < simulation.failed) {
             figures.failed += 1;
-            result.lost += 1 / all_rate;
+            result.lost += 1 / total_rate;
           } else {
-            const double ms = boost::random::lognormal_distribution<double>(4, 0.7)(random) * (bad ? 2 : 1) *
-                              (box.runs_new ? 1 + setup.slow : 1);
+            const double ms = boost::random::lognormal_distribution<double>(4, 0.7)(random) *
+                              (in_outage ? 2 : 1) * (dispatcher.runs_new ? 1 + simulation.slow : 1);
             figures.add_served(ms, ms > 400);
           }
         }
-        box.cpu_ms += 0.2 * asked;
+        dispatcher.cpu_ms += 0.2 * query_count;
       }
-      samples[name] = {now, box.pid, 0, 8 + box.weight, box.cpu_ms, box.figures};
+      samples[name] = {now, dispatcher.pid, 0, 8 + dispatcher.weight, dispatcher.cpu_ms, dispatcher.figures};
     }
-    // What was ordered is done some seconds later.
-    for (std::size_t i = 0; i < due.size();) {
-      if (due[i].at > now) {
+    // Orders take effect some seconds after they were issued.
+    for (std::size_t i = 0; i < pending_orders.size();) {
+      if (pending_orders[i].at_ms > now) {
         ++i;
         continue;
       }
-      const Order order = due[i].order;
-      due.erase(due.begin() + static_cast<std::ptrdiff_t>(i));
-      Box& box = boxes.at(order.member);
+      const Order order = pending_orders[i].order;
+      pending_orders.erase(pending_orders.begin() + static_cast<std::ptrdiff_t>(i));
+      SimulatedDispatcher& dispatcher = dispatchers.at(order.member);
       const bool to_new = order.kind == Order::Kind::move;
       if (to_new || order.kind == Order::Kind::go_back) {
-        if (box.runs_new != to_new) {
-          box.pid += 1;
-          box.figures.clear();
-          box.cpu_ms = 0;
+        if (dispatcher.runs_new != to_new) {
+          dispatcher.pid += 1;
+          dispatcher.figures.clear();
+          dispatcher.cpu_ms = 0;
         }
-        box.runs_new = to_new;
-        if (first_new == 0) first_new = now;
+        dispatcher.runs_new = to_new;
+        if (first_new_ms == 0) first_new_ms = now;
       }
       rollout.answered(now, order, true, {});
     }
-    const double began = cpu_now();
+    const double cpu_before_ms = cpu_time_ms();
     assessor.look(samples, rollout);
     assessor.judge(now, rollout);
     rollout.tick(now);
-    cpu += cpu_now() - began;
-    turns += 1;
+    total_cpu_ms += cpu_time_ms() - cpu_before_ms;
+    step_count += 1;
     for (const auto& member : rollout.plan().members) {
-      const auto out = rollout.out(member.name);
-      if (!out || sent[member.name] >= out->number) continue;
-      sent[member.name] = out->number;
+      const auto next_order = rollout.out(member.name);
+      if (!next_order || sent_orders[member.name] >= next_order->number) continue;
+      sent_orders[member.name] = next_order->number;
       result.orders += 1;
-      due.push_back({now + 1'000 + 2'000 * share(), *out});
+      pending_orders.push_back({now + 1'000 + 2'000 * random_share(), *next_order});
     }
     result.most_on_new = std::max(result.most_on_new, rollout.on_new());
     if (result.stopped_s == 0 && rollout.phase() == Phase::going_back)
-      result.stopped_s = (now - first_new) / 1e3;
+      result.stopped_s = (now - first_new_ms) / 1e3;
     result.seconds = now / 1e3;
   }
   result.outcome = rollout.phase() == Phase::complete ? "complete"
                    : rollout.phase() == Phase::back   ? "back"
                                                       : "paused";
   result.reason = rollout.reason() + rollout.paused();
-  result.judge_ms = cpu / static_cast<double>(std::max<std::size_t>(turns, 1));
+  result.judge_ms = total_cpu_ms / static_cast<double>(std::max<std::size_t>(step_count, 1));
   return result;
 }
 
--- a/src/lab/fleet_sim.hpp
+++ b/src/lab/fleet_sim.hpp
@@ -1,5 +1,5 @@
-// A change of a large fleet on a made-up clock: the real cores of rollout, verdict and what lies between
-// them, with dispatchers that are asked unlike numbers of queries, and troubles that hit a zone's all alike.
+// Simulates a rolling change of a large fleet on a virtual clock. It uses the real rollout and verdict logic,
+// with simulated dispatchers whose query rates differ and outages that hit all dispatchers of a zone.
 #pragma once
 
 #include <cstdint>
@@ -8,25 +8,28 @@
 
 namespace woadtide::lab {
 
+// Settings of a simulation.
 struct FleetSim {
   int dispatchers = 300, zones = 3;
-  double rate = 10;   // queries a second and dispatcher, in the mean
-  double failed = 0;  // share of payouts that the new version fails, beside the usual
-  double slow = 0;    // its times are longer by this share
-  bool troubles = true;
-  std::vector<int> stages;
+  double rate = 10;         // mean queries per second and dispatcher
+  double failed = 0;        // additional share of payouts that fail on the new version
+  double slow = 0;          // relative increase of latency on the new version
+  bool troubles = true;     // temporary outages of a zone
+  std::vector<int> stages;  // dispatchers on the new version after each stage
   double look_s = 60, bake_s = 60, patience_s = 1'800, margin = 0.02;
 };
 
+// Result of a simulation.
 struct FleetSimResult {
-  std::string outcome, reason;  // complete, back, paused
-  double seconds = 0;           // until its end
-  double stopped_s = 0;         // from the first one changed until it turned back; 0: it did not
-  double lost = 0;  // queries that the defect failed, as a share of one second's of the whole fleet
+  std::string outcome, reason;  // outcome: "complete", "back" or "paused"
+  double seconds = 0;           // duration of the change
+  double stopped_s = 0;         // from the first changed dispatcher to the rollback, s; 0: no rollback
+  double lost = 0;  // queries that failed by the defect, in seconds of the load of the whole fleet
   int most_on_new = 0;
   int orders = 0;
-  double judge_ms = 0;  // CPU of look, judge and tick together, a turn
+  double judge_ms = 0;  // mean CPU time per step of the assessor and the rollout logic
 };
+// Runs a simulation; depends only on its arguments (except judge_ms).
 FleetSimResult simulate(const FleetSim& setup, std::uint64_t seed);
 
 }  // namespace woadtide::lab
--- a/src/lab/history.cpp
+++ b/src/lab/history.cpp
@@ -13,82 +13,84 @@
 std::string Verdict::summary() const {
   std::string text = "jobs " + std::to_string(jobs) + ": finished " + std::to_string(finished) + ", failed " +
                      std::to_string(failed) + ", refused " + std::to_string(refused) + ", in doubt " +
-                     std::to_string(in_doubt) + "; payouts run twice " + std::to_string(twice) +
+                     std::to_string(in_doubt) + "; payouts started twice " + std::to_string(twice) +
                      ", unanswered " + std::to_string(unanswered) + ", changed answers " +
-                     std::to_string(changed) + ", answers against the ledgers " +
+                     std::to_string(changed) + ", answers that contradict the ledgers " +
                      std::to_string(contradictions);
   return text;
 }
 
-Verdict judge(const std::vector<Seen>& seen, const std::vector<Entry>& ledgers) {
+Verdict judge(const std::vector<Seen>& observations, const std::vector<Entry>& ledgers) {
   Verdict verdict;
-  std::map<std::string, int> begun;
+  std::map<std::string, int> start_counts;
   std::map<std::string, std::set<std::string>> results;
   std::set<std::string> failed;
   for (const Entry& entry : ledgers) {
-    if (entry.what == "begun") begun[entry.key] += 1;
-    if (entry.what == "begun" && entry.once && begun[entry.key] == 2) {
+    if (entry.what == "begun") start_counts[entry.key] += 1;
+    if (entry.what == "begun" && entry.once && start_counts[entry.key] == 2) {
       verdict.twice += 1;
-      verdict.lines.push_back(entry.key + ": ran twice");
+      verdict.lines.push_back(entry.key + ": started twice");
     }
     if (entry.what == "finished") results[entry.key].insert(entry.result);
     if (entry.what == "failed") failed.insert(entry.key);
   }
-  std::map<std::string, bool> once;
+  std::map<std::string, bool> at_most_once_keys;
   std::map<std::string, Seen> ends;
-  for (const Seen& one : seen) {
-    if (one.what == "asked") {
-      once[one.key] = one.once;
+  for (const Seen& observation : observations) {
+    if (observation.what == "asked") {
+      at_most_once_keys[observation.key] = observation.once;
       continue;
     }
-    if (one.what == "gave-up") {
+    if (observation.what == "gave-up") {
       verdict.unanswered += 1;
-      verdict.lines.push_back(one.key + ": no final answer in time");
+      verdict.lines.push_back(observation.key + ": no final answer in time");
       continue;
     }
-    const auto [end, fresh] = ends.emplace(one.key, one);
-    if (fresh) continue;
-    // A refusal says that a retry does no harm, so another answer may follow it.
+    const auto [end, inserted] = ends.emplace(observation.key, observation);
+    if (inserted) continue;
+    // A refusal means that a retry is safe, so a different answer may follow it.
     if (end->second.state == "refused") {
-      end->second = one;
-    } else if (end->second.status != one.status || end->second.state != one.state ||
-               end->second.body != one.body) {
+      end->second = observation;
+    } else if (end->second.status != observation.status || end->second.state != observation.state ||
+               end->second.body != observation.body) {
       verdict.changed += 1;
-      verdict.lines.push_back(one.key + ": told " + end->second.state + ", then " + one.state);
+      verdict.lines.push_back(observation.key + ": told " + end->second.state + ", then " +
+                              observation.state);
     }
   }
-  verdict.jobs = static_cast<int>(once.size());
+  verdict.jobs = static_cast<int>(at_most_once_keys.size());
   for (const auto& [key, end] : ends) {
-    const auto against = [&, &name = key, &told = end](const std::string& why) {
+    const auto add_contradiction = [&, &name = key, &told = end](const std::string& reason) {
       verdict.contradictions += 1;
-      verdict.lines.push_back(name + ": told " + told.state + ", but " + why);
+      verdict.lines.push_back(name + ": told " + told.state + ", but " + reason);
     };
     if (end.state == "finished") {
       verdict.finished += 1;
-      if (!results[key].contains(end.body)) against("no ledger has that result");
+      if (!results[key].contains(end.body)) add_contradiction("no ledger has that result");
     } else if (end.state == "refused") {
       verdict.refused += 1;
-      if (once[key] && begun[key] > 0) against("it began");
+      if (at_most_once_keys[key] && start_counts[key] > 0) add_contradiction("it had started");
     } else if (end.state == "in-doubt") {
       verdict.in_doubt += 1;
-      if (!once[key]) against("it is of a class that may be repeated");
+      if (!at_most_once_keys[key]) add_contradiction("its class is idempotent");
     } else {
       verdict.failed += 1;
-      if (once[key] && !failed.contains(key)) against("no ledger has it as failed");
+      if (at_most_once_keys[key] && !failed.contains(key))
+        add_contradiction("no ledger has recorded it as failed");
     }
   }
-  for (const auto& [key, is_once] : once)
-    if (!ends.contains(key)) verdict.lines.push_back(key + ": has no end");
+  for (const auto& [key, at_most_once] : at_most_once_keys)
+    if (!ends.contains(key)) verdict.lines.push_back(key + ": has no final answer");
   return verdict;
 }
 
-std::string line_of(const Seen& seen) {
-  return json({{"key", seen.key},
-               {"what", seen.what},
-               {"once", seen.once},
-               {"status", seen.status},
-               {"state", seen.state},
-               {"body", seen.body}})
+std::string line_of(const Seen& observation) {
+  return json({{"key", observation.key},
+               {"what", observation.what},
+               {"once", observation.once},
+               {"status", observation.status},
+               {"state", observation.state},
+               {"body", observation.body}})
       .dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
--- a/src/lab/history.hpp
+++ b/src/lab/history.hpp
@@ -1,4 +1,5 @@
-// The checker: judges what clients were told and what workers' ledgers say, never the dispatcher's own word.
+// Checker of durable jobs: compares the answers that clients got with the workers' ledgers, and never relies
+// on the dispatcher's own claims.
 #pragma once
 
 #include <string>
@@ -8,8 +9,8 @@
 
 namespace woadtide::lab {
 
-// One thing that a client saw. `what`: "asked" (a job, first of all), "told" (an answer that is final),
-// "gave-up".
+// One observation of a client. `what`: "asked" (a job was submitted), "told" (a final answer came), "gave-up"
+// (no final answer in time).
 struct Seen {
   std::string key, what;
   bool once = false;
@@ -17,25 +18,27 @@
   std::string state, body;
 };
 
+// Result of the check: counts of outcomes and of violations.
 struct Verdict {
   int jobs = 0, finished = 0, failed = 0, refused = 0, in_doubt = 0;
-  int twice = 0;                   // at-most-once jobs that began twice
-  int unanswered = 0;              // without a final answer before their client gave up
-  int changed = 0;                 // told one end, then another
-  int contradictions = 0;          // answers that the ledgers contradict
-  std::vector<std::string> lines;  // each of them
+  int twice = 0;                   // at-most-once jobs that were started twice
+  int unanswered = 0;              // jobs without a final answer before their client gave up
+  int changed = 0;                 // jobs with two different final answers
+  int contradictions = 0;          // answers that contradict the ledgers
+  std::vector<std::string> lines;  // one for each violation
 
   bool good() const { return twice + unanswered + changed + contradictions == 0; }
   std::string summary() const;
 };
 
+// Checks a history; pure.
 Verdict judge(const std::vector<Seen>& seen, const std::vector<Entry>& ledgers);
 
-// As a file, a JSON object a line.
+// File format: one JSON object per line.
 std::string line_of(const Seen& seen);
 std::vector<Seen> read_history(const std::string& path);
 std::string history_of(const std::string& folder);
-// The history and the ledgers that a run left in its folder.
+// Checks the history and the ledgers in the folder of a run.
 Verdict judge_folder(const std::string& folder);
 
 }  // namespace woadtide::lab
--- a/src/lab/job_client.cpp
+++ b/src/lab/job_client.cpp
@@ -11,82 +11,88 @@
 namespace woadtide::lab {
 
 namespace {
-constexpr int kPauseMs = 10;
-constexpr double kWaitMs = 400, kConnectMs = 200, kMostPauseMs = 100;
+constexpr int kMinRetryPauseMs = 10;
+constexpr double kMaxWaitMs = 400, kConnectTimeoutMs = 200, kMaxRetryPauseMs = 100;
 }  // namespace
 
-std::optional<Heard> JobClient::call(const std::string& text, double until) {
+std::optional<Heard> JobClient::call(const std::string& request, double deadline_ms) {
   const net::Address address("127.0.0.1:" + std::to_string(port_));
   if (!socket_) {
     socket_ = net::Socket::make(address);
-    if (!socket_.connect(address, std::clamp(until - clock_.now(), 1.0, kConnectMs))) {
+    if (!socket_.connect(address, std::clamp(deadline_ms - clock_.now(), 1.0, kConnectTimeoutMs))) {
       socket_ = net::Socket();
       return std::nullopt;
     }
   }
-  const auto broken = [this] {
+  const auto drop_link = [this] {
     socket_ = net::Socket();
     return std::nullopt;
   };
-  if (socket_.send({text}, until, clock_) != net::Io::done) return broken();
-  std::string come;
-  std::vector<char> some(65'536);
-  std::size_t got = 0, length = 0, whole = 0;
-  while (whole == 0 || come.size() < whole) {
-    if (socket_.receive(some.data(), some.size(), got, until, clock_) != net::Io::done) return broken();
-    come.append(some.data(), got);
-    if (length == 0) length = net::head_length(come);
-    if (length != 0 && whole == 0)
-      whole =
-          length +
+  if (socket_.send({request}, deadline_ms, clock_) != net::Io::done) return drop_link();
+  std::string received;
+  std::vector<char> buffer(65'536);
+  std::size_t received_bytes = 0, head_bytes = 0, message_bytes = 0;
+  while (message_bytes == 0 || received.size() < message_bytes) {
+    if (socket_.receive(buffer.data(), buffer.size(), received_bytes, deadline_ms, clock_) != net::Io::done)
+      return drop_link();
+    received.append(buffer.data(), received_bytes);
+    if (head_bytes == 0) head_bytes = net::head_length(received);
+    if (head_bytes != 0 && message_bytes == 0)
+      message_bytes =
+          head_bytes +
           static_cast<std::size_t>(
-              net::framing_of_answer(net::read_answer_head(std::string_view(come).substr(0, length))).length);
+              net::framing_of_answer(net::read_answer_head(std::string_view(received).substr(0, head_bytes)))
+                  .length);
   }
-  const net::Head head = net::read_answer_head(std::string_view(come).substr(0, length));
-  Heard heard{head.status, std::string(head.find("X-Job-State").value_or("")), come.substr(length), 0};
+  const net::Head head = net::read_answer_head(std::string_view(received).substr(0, head_bytes));
+  Heard response{head.status, std::string(head.find("X-Job-State").value_or("")), received.substr(head_bytes),
+                 0};
   if (const auto retry = head.find("Retry-After"))
-    heard.retry_after_ms = std::atof(std::string(*retry).c_str()) * 1'000;
+    response.retry_after_ms = std::atof(std::string(*retry).c_str()) * 1'000;
   if (head.connection_names("close")) socket_ = net::Socket();
-  return heard;
+  return response;
 }
 
 std::optional<Heard> JobClient::put(const std::string& key, bool once, const std::string& body,
-                                    double budget_ms, double until) {
+                                    double budget_ms, double deadline_ms) {
   return call("PUT /jobs/" + key +
                   " HTTP/1.1\r\nX-Call-Class: " + (once ? "refund-payout" : "receipt-check") +
                   "\r\nX-Budget: " + std::to_string(std::max(1, static_cast<int>(budget_ms))) +
                   "m\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
-              until);
+              deadline_ms);
 }
 
-std::optional<Heard> JobClient::get(const std::string& key, double wait_ms, double until) {
+std::optional<Heard> JobClient::get(const std::string& key, double wait_ms, double deadline_ms) {
   return call("GET /jobs/" + key + "?wait=" + std::to_string(std::max(0, static_cast<int>(wait_ms))) +
                   " HTTP/1.1\r\n\r\n",
-              until);
+              deadline_ms);
 }
 
 Seen JobClient::bring(const std::string& key, bool once, const std::string& body, double budget_ms) {
-  const double until = clock_.now() + budget_ms;
-  Seen seen{key, "gave-up", once, 0, {}, {}};
-  for (bool taken = false; clock_.now() < until;) {
-    const double left = until - clock_.now();
-    const auto heard = taken ? get(key, std::min(kWaitMs, left), until) : put(key, once, body, left, until);
-    double pause = heard ? 0 : kPauseMs;
-    if (heard && (heard->status == 200 || heard->status == 502)) {
-      seen = {key, "told", once, heard->status, heard->state, heard->body};
-      return seen;
+  const double deadline_ms = clock_.now() + budget_ms;
+  Seen observation{key, "gave-up", once, 0, {}, {}};
+  for (bool accepted = false; clock_.now() < deadline_ms;) {
+    const double remaining_ms = deadline_ms - clock_.now();
+    const auto response = accepted ? get(key, std::min(kMaxWaitMs, remaining_ms), deadline_ms)
+                                   : put(key, once, body, remaining_ms, deadline_ms);
+    double pause_ms = response ? 0 : kMinRetryPauseMs;
+    if (response && (response->status == 200 || response->status == 502)) {
+      observation = {key, "told", once, response->status, response->state, response->body};
+      return observation;
     }
-    if (heard && heard->status == 202) taken = true;
-    // A refusal is an end, unless there is time to try again: that does no harm.
-    if (heard && heard->status == 503 && heard->state == "refused")
-      seen = {key, "told", once, heard->status, heard->state, heard->body};
-    if (heard && (heard->status == 503 || heard->status == 404)) {
-      taken = false;
-      pause = std::clamp(heard->retry_after_ms, static_cast<double>(kPauseMs), kMostPauseMs);
+    if (response && response->status == 202) accepted = true;
+    // A refusal is final unless there is time for a retry, which is safe after a refusal.
+    if (response && response->status == 503 && response->state == "refused")
+      observation = {key, "told", once, response->status, response->state, response->body};
+    if (response && (response->status == 503 || response->status == 404)) {
+      accepted = false;
+      pause_ms =
+          std::clamp(response->retry_after_ms, static_cast<double>(kMinRetryPauseMs), kMaxRetryPauseMs);
     }
-    if (pause > 0) ::poll(nullptr, 0, static_cast<int>(std::min(pause, std::max(0.0, until - clock_.now()))));
+    if (pause_ms > 0)
+      ::poll(nullptr, 0, static_cast<int>(std::min(pause_ms, std::max(0.0, deadline_ms - clock_.now()))));
   }
-  return seen;
+  return observation;
 }
 
 }  // namespace woadtide::lab
--- a/src/lab/job_client.hpp
+++ b/src/lab/job_client.hpp
@@ -1,5 +1,5 @@
-// A client of durable jobs as it should be: brings a job under its key, and asks by that key until it is told
-// the end or gives up, whatever happens to its links.
+// Reference client of durable jobs: submits a job under its key and polls by that key until it gets the final
+// answer or gives up, across failures of its links.
 #pragma once
 
 #include <optional>
@@ -11,22 +11,27 @@
 
 namespace woadtide::lab {
 
+// An answer of the dispatcher; `state` is the value of X-Job-State.
 struct Heard {
   int status = 0;
   std::string state, body;
   double retry_after_ms = 0;
 };
 
+// Client of one dispatcher on loopback. Times are in ms of its clock. Not thread-safe.
 class JobClient {
  public:
   explicit JobClient(int port) : port_(port) {}
 
-  // One call over the kept link, or a fresh one. Nothing, where the link broke or `until` passed.
-  std::optional<Heard> call(const std::string& text, double until);
+  // Sends a request over the open link or a new one. Returns nullopt if the link failed or the deadline
+  // passed.
+  std::optional<Heard> call(const std::string& request, double deadline_ms);
+  // Submits a job.
   std::optional<Heard> put(const std::string& key, bool once, const std::string& body, double budget_ms,
-                           double until);
-  std::optional<Heard> get(const std::string& key, double wait_ms, double until);
-  // The whole life of one job, to the end that its client sees.
+                           double deadline_ms);
+  // Asks for the state of a job; the dispatcher may wait up to `wait_ms` for its end.
+  std::optional<Heard> get(const std::string& key, double wait_ms, double deadline_ms);
+  // Submits a job and follows it to its final answer or the end of the budget.
   Seen bring(const std::string& key, bool once, const std::string& body, double budget_ms);
   double now() const { return clock_.now(); }
 
--- a/src/lab/ledger.cpp
+++ b/src/lab/ledger.cpp
@@ -26,7 +26,7 @@
     const std::string text = json({{"ledger", id_}}).dump() + '\n';
     if (::write(fd_, text.data(), text.size()) < 0) throw std::runtime_error(path + ": cannot be written");
   }
-  // A torn last line must not join with the next one.
+  // A torn last line must not run into the next one.
   if (::write(fd_, "\n", 1) < 0) throw std::runtime_error(path + ": cannot be written");
 }
 
--- a/src/lab/ledger.hpp
+++ b/src/lab/ledger.hpp
@@ -1,5 +1,5 @@
-// A stand-in worker's books, on disk: a JSON object a line for every effect that was begun and ended, and for
-// every fence. Written before it is acted on; a line that a kill tore is no entry.
+// Ledger of a test worker on disk: one JSON object per line for every start and end of an execution and for
+// every fence. An entry is written before it takes effect; a line torn by a kill is not an entry.
 #pragma once
 
 #include <cstdint>
@@ -10,28 +10,31 @@
 
 namespace woadtide::lab {
 
+// One line of a ledger.
 struct Entry {
   std::string key;
   std::string what;  // "begun", "finished", "failed", "fence"
   std::uint64_t epoch = 0;
   bool once = false;
   std::string result = {};
-  std::string via = {};  // the address that it was called by
-  double at_ms = 0;      // on the machine's clock; of a line that was read
+  std::string via = {};  // address under which the worker was called
+  double at_ms = 0;      // on the machine's clock; only set in entries that were read
 };
 
+// Append-only ledger file. Thread-safe.
 class Ledger {
  public:
-  // Reads what is there. A new file gets an id of its own. Throws std::runtime_error.
+  // Opens the file and reads its id; a new file gets a new id. Throws std::runtime_error.
   explicit Ledger(std::string path);
   ~Ledger();
   Ledger(const Ledger&) = delete;
   Ledger& operator=(const Ledger&) = delete;
 
   const std::string& id() const { return id_; }
+  // Appends an entry in a single write(). Throws std::runtime_error if that fails.
   void add(const Entry& entry);
 
-  // The file's entries, whole lines only. Missing: none.
+  // Returns the complete entries of a file; none if it does not exist.
   static std::vector<Entry> read(const std::string& path);
 
  private:
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,4 +1,4 @@
-// woadtide-lab: stand-ins, faults and checks for woadtide, all on loopback.
+// woadtide-lab: test workers, fault injection, simulations and checkers for woadtide, all on loopback.
 #include <poll.h>
 
 #include <algorithm>
@@ -28,13 +28,13 @@
 
 int run_worker(int port, const std::string& ledger_path, bool answers, bool steady) {
   lab::Worker worker(port, ledger_path, answers, [steady](const lab::Begun& begun) {
-    // The key decides, so that a run does not hang on which worker it meets.
+    // The behaviour depends on the key alone, so that it does not matter which worker gets the execution.
     const std::size_t hash = std::hash<std::string>()(begun.key);
     lab::Plan execution;
     execution.run_ms = static_cast<double>(steady ? 5 + hash % 26 : 2 + hash % 60);
     if (steady) return execution;
     execution.heartbeat_ms = hash % 3 == 0 ? 10 : 0;
-    if (hash % 97 == 0) execution.run_ms = 900;  // longer than a lease, without a heartbeat or with some
+    if (hash % 97 == 0) execution.run_ms = 900;  // longer than a lease, with or without heartbeats
     if (hash % 41 == 0) execution.end = lab::Plan::End::failed;
     if (hash % 43 == 0) execution.end = lab::Plan::End::refuse;
     return execution;
@@ -55,7 +55,7 @@
   return 1;
 }
 
-// The same change over some seeds: medians, and how it ended.
+// Simulates the same change with several seeds and prints outcomes and medians.
 int run_fleet(const lab::FleetSim& simulation, std::uint64_t seed, int count) {
   std::vector<double> seconds, stopped_s, lost_s, max_on_new, cpu_ms;
   std::map<std::string, int> outcomes;
@@ -80,13 +80,13 @@
   for (const int stage : simulation.stages) std::cout << ' ' << stage;
   std::cout << ", fails " << simulation.failed << ", slower " << simulation.slow << ":";
   for (const auto& [outcome, number] : outcomes) std::cout << ' ' << outcome << ' ' << number;
-  std::cout << "; ends at " << median(seconds) << " s, stopped after " << median(stopped_s)
-            << " s, most on the new one " << median(max_on_new) << ", lost " << median(lost_s)
-            << " s of the fleet's queries, a turn " << median(cpu_ms) << " ms" << std::endl;
+  std::cout << "; ends at " << median(seconds) << " s, rolled back after " << median(stopped_s)
+            << " s, most on the new version " << median(max_on_new) << ", lost " << median(lost_s)
+            << " s of the fleet's load, CPU per step " << median(cpu_ms) << " ms" << std::endl;
   return 0;
 }
 
-// Many changes, each drawn from its own seed: a line for each, then what came out.
+// Runs changes drawn from consecutive seeds; prints a line for each and then the number of outcomes.
 int run_changes(const std::string& path, lab::cluster::RunSettings settings, int count) {
   const lab::cluster::Scenario base_scenario = lab::cluster::read_scenario(path);
   const std::string folder = settings.folder;
@@ -126,39 +126,47 @@
   lab::scale::CommandOptions scale;
   bool no_inquiries = false, no_faults = false, steady = false;
   options::options_description visible_options("Options");
-  visible_options.add_options()("help,h", "print this page")("port", options::value(&port),
-                                                             "worker: where it listens")(
-      "ledger", options::value(&ledger_path), "worker: its books")("answers",
-                                                                   "worker: may be asked about jobs")(
-      "steady", options::bool_switch(&steady), "worker: all that it does takes 5 to 30 ms, and ends well")(
-      "dispatcher", options::value(&crash_settings.dispatcher_program), "crash: the program under test")(
-      "folder", options::value(&crash_settings.folder), "crash, points, check, scale: for all files")(
-      "kills", options::value(&crash_settings.kills)->default_value(crash_settings.kills), "crash: how many")(
+  visible_options.add_options()("help,h", "print this help")(
+      "port", options::value(&port), "worker: port to listen on")("ledger", options::value(&ledger_path),
+                                                                  "worker: path of its ledger")(
+      "answers", "worker: answer inquiries about jobs")("steady", options::bool_switch(&steady),
+                                                        "worker: executions take 5 to 30 ms and succeed")(
+      "dispatcher", options::value(&crash_settings.dispatcher_program),
+      "crash, points, cluster, changes: the program under test")(
+      "folder", options::value(&crash_settings.folder), "folder for all files")(
+      "kills", options::value(&crash_settings.kills)->default_value(crash_settings.kills),
+      "crash: number of kills")(
       "clients", options::value(&crash_settings.clients)->default_value(crash_settings.clients),
-      "crash: how many at once")("gap",
-                                 options::value(&crash_settings.mean_kill_interval_ms)
-                                     ->default_value(crash_settings.mean_kill_interval_ms),
-                                 "crash: mean ms between two kills")(
-      "count", options::value(&count)->default_value(count), "changes: how many, one seed each")(
+      "crash: number of concurrent clients")("gap",
+                                             options::value(&crash_settings.mean_kill_interval_ms)
+                                                 ->default_value(crash_settings.mean_kill_interval_ms),
+                                             "crash: mean time between two kills, ms")(
+      "count", options::value(&count)->default_value(count), "changes, fleet: number of runs, one seed each")(
       "seed", options::value(&crash_settings.seed)->default_value(crash_settings.seed),
-      "of all that is drawn")("plain", options::bool_switch(&no_inquiries), "crash: workers cannot be asked")(
-      "no-faults", options::bool_switch(&no_faults), "crash: no ends within the store")(
-      "kind", options::value(&fault_kind), "points: kill, torn, fail or full")(
-      "first", options::value(&old_program), "cluster: the program that is to be changed, if another one")(
-      "next", options::value(&new_program), "cluster: the program that it is changed to")(
-      "scenario", options::value(&scenario_path), "cluster: the TOML file of a run")(
-      "plan", options::value(&plan_path), "registry, clients: the run's plan")(
-      "record", options::value(&record_path), "registry, clients: where they write what they saw")(
-      "to", options::value(&dispatcher), "clients: of which dispatcher");
-  visible_options.add_options()("dispatchers", options::value(&simulation.dispatchers), "fleet: how many")(
-      "stages", options::value(&simulation.stages)->multitoken(), "fleet: how many are changed after each")(
-      "fails", options::value(&simulation.failed), "fleet: share of payouts that the new version fails")(
-      "slower", options::value(&simulation.slow), "fleet: by which share its times are longer")(
-      "bake", options::value(&simulation.bake_s), "fleet: s of each stage, at least")(
-      "margin", options::value(&simulation.margin), "fleet: what counts as not worse")(
-      "part", options::value(&scale.part), "scale: which part is swept; an unknown one names them all")(
-      "json", options::value(&scale.json_file), "scale: the report, as JSON, is written there")(
-      "svg", options::value(&scale.svg_file), "scale: a plot is written there")(
+      "seed of all random numbers")("plain", options::bool_switch(&no_inquiries),
+                                    "crash: workers do not answer inquiries")(
+      "no-faults", options::bool_switch(&no_faults), "crash: no faults within store operations")(
+      "kind", options::value(&fault_kind), "points: kind of fault: kill, torn, fail or full")(
+      "first", options::value(&old_program),
+      "cluster, changes: program before the change (default: the program under test)")(
+      "next", options::value(&new_program),
+      "cluster, changes: program after the change (default: a copy with the flaw)")(
+      "scenario", options::value(&scenario_path), "cluster, changes: scenario file (TOML)")(
+      "plan", options::value(&plan_path), "registry, clients: plan file of the run")(
+      "record", options::value(&record_path), "registry, clients: file for their records")(
+      "to", options::value(&dispatcher), "clients: name of the dispatcher");
+  visible_options.add_options()("dispatchers", options::value(&simulation.dispatchers),
+                                "fleet: number of dispatchers")(
+      "stages", options::value(&simulation.stages)->multitoken(),
+      "fleet: number of changed dispatchers after each stage")(
+      "fails", options::value(&simulation.failed),
+      "fleet: additional share of payouts that fail on the new version")(
+      "slower", options::value(&simulation.slow), "fleet: relative increase of its latency")(
+      "bake", options::value(&simulation.bake_s), "fleet: minimum duration of a stage, s")(
+      "margin", options::value(&simulation.margin), "fleet: non-inferiority margin")(
+      "part", options::value(&scale.part), "scale: part to sweep; an unknown name lists all parts")(
+      "json", options::value(&scale.json_file), "scale: file for the report as JSON")(
+      "svg", options::value(&scale.svg_file), "scale: file for a plot")(
       "small", options::bool_switch(&scale.settings.small), "scale: few sizes and few samples");
   options::options_description all(visible_options);
   all.add_options()("command", options::value(&command));
@@ -168,22 +176,21 @@
   options::store(options::command_line_parser(argc, argv).options(all).positional(positional).run(), values);
   options::notify(values);
   if (values.count("help") || command.empty()) {
-    std::cout
-        << "Usage: woadtide-lab COMMAND [options]\n\n"
-           "  crash    kill the dispatcher and workers at random, and judge the history\n"
-           "  check    judge the history and the ledgers that a run left in its folder\n"
-           "  points   one fault at every operation of the dispatcher's store in turn\n"
-           "  cluster  many processes with faults between them, by a scenario; judges their files\n"
-           "  changes  many rolling changes, each with a flaw, faults and an abort drawn from its seed\n"
-           "  fleet    a change of hundreds of dispatchers on a made-up clock\n"
-           "  hollow   many dispatchers without traffic and their service discovery; has a --help of its "
-           "own\n"
-           "  soak     a dispatcher under failing system calls, signals and trouble; has a --help of its "
-           "own\n"
-           "  scale    sweep one part over growing sizes: cost by size, slopes, where it bends\n"
-           "  worker   a stand-in worker\n"
-           "  registry, clients   processes that cluster starts\n\n"
-        << visible_options;
+    std::cout << "Usage: woadtide-lab COMMAND [options]\n\n"
+                 "  crash    kill the dispatcher and workers at random, and check the history\n"
+                 "  check    check the history and the ledgers in the folder of a run\n"
+                 "  points   inject a fault at each operation of the dispatcher's store in turn\n"
+                 "  cluster  run many processes with faults by a scenario, and check their records\n"
+                 "  changes  run rolling changes, each with a flaw, faults and an abort drawn from its seed\n"
+                 "  fleet    simulate a change of hundreds of dispatchers on a virtual clock\n"
+                 "  hollow   many dispatchers without traffic and their service discovery; see its own "
+                 "--help\n"
+                 "  soak     a dispatcher under failing system calls, signals and other faults; see its own "
+                 "--help\n"
+                 "  scale    sweep one part over growing sizes: cost by size, slopes, breakpoints\n"
+                 "  worker   a test worker\n"
+                 "  registry, clients   processes that cluster starts\n\n"
+              << visible_options;
     return 0;
   }
   std::signal(SIGPIPE, SIG_IGN);
@@ -209,14 +216,14 @@
   if (command != "crash" && command != "points" && command != "cluster" && command != "changes")
     throw std::runtime_error("unknown command '" + command + "'");
   if (crash_settings.dispatcher_program.empty() || crash_settings.folder.empty())
-    throw std::runtime_error(command + " wants --dispatcher PROGRAM and --folder FOLDER");
+    throw std::runtime_error(command + " requires --dispatcher PROGRAM and --folder FOLDER");
   if (std::filesystem::exists(crash_settings.folder))
-    throw std::runtime_error(crash_settings.folder + " is there already");
+    throw std::runtime_error(crash_settings.folder + " already exists");
   crash_settings.workers_answer_inquiries = !no_inquiries;
   crash_settings.store_faults = !no_faults;
   const std::string lab_program = std::filesystem::read_symlink("/proc/self/exe").string();
   if (command == "cluster" || command == "changes") {
-    if (scenario_path.empty()) throw std::runtime_error(command + " wants --scenario FILE");
+    if (scenario_path.empty()) throw std::runtime_error(command + " requires --scenario FILE");
     if (command == "changes")
       return run_changes(scenario_path,
                          {crash_settings.dispatcher_program, lab_program, crash_settings.folder, old_program,
@@ -227,8 +234,9 @@
   }
   if (command == "points") {
     const auto sweep = lab::run_fault_sweep(crash_settings, fault_kind, lab_program);
-    std::cout << fault_kind << ": " << sweep.runs << " points, the last one untouched; died at "
-              << sweep.deaths << "; " << sweep.verdict.summary() << '\n';
+    std::cout << fault_kind << ": " << sweep.runs
+              << " runs, the last one without a fault; the dispatcher died in " << sweep.deaths << "; "
+              << sweep.verdict.summary() << '\n';
     for (const std::string& line : sweep.verdict.lines) std::cout << "  " << line << '\n';
     return sweep.verdict.good() && sweep.verdict.lines.empty() ? 0 : 1;
   }
@@ -237,7 +245,7 @@
   std::cout << findings.summary() << "\nkills: dispatcher " << report.dispatcher_kills
             << ", within its store " << report.store_kills << ", worker " << report.worker_kills << ", both "
             << report.both_kills << "; workers started empty " << report.emptied_workers << "; upgrades "
-            << report.hot_restarts << "; ends that nobody asked for " << report.unexpected_exits << '\n';
+            << report.hot_restarts << "; unexpected exits " << report.unexpected_exits << '\n';
   for (const std::string& line : findings.lines) std::cout << "  " << line << '\n';
   if (findings.good() && report.unexpected_exits == 0) return 0;
   std::cout << "replay: woadtide-lab crash --seed " << crash_settings.seed << " --kills "
--- a/src/lab/process.cpp
+++ b/src/lab/process.cpp
@@ -13,26 +13,26 @@
 
 namespace woadtide::lab {
 
-Process::Process(const std::vector<std::string>& words, const std::map<std::string, std::string>& environment,
-                 const std::string& log) {
-  std::vector<char*> arguments, variables;
-  for (const std::string& word : words) arguments.push_back(const_cast<char*>(word.c_str()));
-  arguments.push_back(nullptr);
-  std::vector<std::string> texts;
-  for (char** one = environ; *one; ++one) texts.emplace_back(*one);
-  for (const auto& [name, value] : environment) texts.push_back(name + '=' + value);
-  for (const std::string& text : texts) variables.push_back(const_cast<char*>(text.c_str()));
-  variables.push_back(nullptr);
-  posix_spawn_file_actions_t files;
-  posix_spawn_file_actions_init(&files);
-  posix_spawn_file_actions_addopen(&files, 2, log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-  posix_spawn_file_actions_adddup2(&files, 2, 1);
+Process::Process(const std::vector<std::string>& arguments,
+                 const std::map<std::string, std::string>& environment, const std::string& log) {
+  std::vector<char*> argv, envp;
+  for (const std::string& word : arguments) argv.push_back(const_cast<char*>(word.c_str()));
+  argv.push_back(nullptr);
+  std::vector<std::string> environment_texts;
+  for (char** variable = environ; *variable; ++variable) environment_texts.emplace_back(*variable);
+  for (const auto& [name, value] : environment) environment_texts.push_back(name + '=' + value);
+  for (const std::string& text : environment_texts) envp.push_back(const_cast<char*>(text.c_str()));
+  envp.push_back(nullptr);
+  posix_spawn_file_actions_t file_actions;
+  posix_spawn_file_actions_init(&file_actions);
+  posix_spawn_file_actions_addopen(&file_actions, 2, log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
+  posix_spawn_file_actions_adddup2(&file_actions, 2, 1);
   const int error =
-      ::posix_spawn(&pid_, words.at(0).c_str(), &files, nullptr, arguments.data(), variables.data());
-  posix_spawn_file_actions_destroy(&files);
+      ::posix_spawn(&pid_, arguments.at(0).c_str(), &file_actions, nullptr, argv.data(), envp.data());
+  posix_spawn_file_actions_destroy(&file_actions);
   if (error != 0) {
     pid_ = -1;
-    throw std::system_error(error, std::generic_category(), words.at(0));
+    throw std::system_error(error, std::generic_category(), arguments.at(0));
   }
 }
 
@@ -65,18 +65,19 @@
   return status;
 }
 
-// Under those that the kernel deals out to connects, so that none is taken between here and its process;
-// apart for runs side by side.
+// The ports are below the kernel's ephemeral range, so that no outgoing connection takes one before its
+// process listens on it. The first port depends on the process id, so that parallel runs get different ports.
 std::vector<int> free_ports(std::size_t count) {
-  constexpr int kFrom = 12'000, kTo = 30'000, kApart = 97;
-  std::vector<net::Socket> held;
+  constexpr int kMinPort = 12'000, kMaxPort = 30'000, kPortsPerProcess = 97;
+  std::vector<net::Socket> listeners;
   std::vector<int> ports;
-  for (int port = kFrom + ::getpid() * kApart % (kTo - kFrom); ports.size() < count; ++port) {
-    if (port >= kTo) port = kFrom;
+  for (int port = kMinPort + ::getpid() * kPortsPerProcess % (kMaxPort - kMinPort); ports.size() < count;
+       ++port) {
+    if (port >= kMaxPort) port = kMinPort;
     try {
-      held.push_back(net::Socket::listen_at(net::Address("127.0.0.1:" + std::to_string(port))));
+      listeners.push_back(net::Socket::listen_at(net::Address("127.0.0.1:" + std::to_string(port))));
       ports.push_back(port);
-    } catch (const std::system_error&) {  // somebody is there
+    } catch (const std::system_error&) {  // the port is in use
     }
   }
   return ports;
--- a/src/lab/process.hpp
+++ b/src/lab/process.hpp
@@ -1,4 +1,4 @@
-// Child processes of the laboratory, and free ports for them. Whatever is still alive ends with its object.
+// Child processes of tests, and free ports for them. A process that still runs is killed by the destructor.
 #pragma once
 
 #include <sys/types.h>
@@ -10,21 +10,23 @@
 
 namespace woadtide::lab {
 
+// A child process.
 class Process {
  public:
   Process() = default;
-  // Standard output and error are appended to `log`. Throws std::system_error.
-  Process(const std::vector<std::string>& words, const std::map<std::string, std::string>& environment,
+  // Starts arguments[0] with the current environment and additional variables. Standard output and error are
+  // appended to `log`. Throws std::system_error.
+  Process(const std::vector<std::string>& arguments, const std::map<std::string, std::string>& environment,
           const std::string& log);
   ~Process() { kill(); }
   Process(Process&& other) noexcept;
   Process& operator=(Process&& other) noexcept;
 
-  // SIGKILL, and waits for the end.
+  // Sends SIGKILL and waits for the exit.
   void kill();
-  // SIGTERM, and waits for the end; its status as waitpid gives it.
+  // Sends SIGTERM and waits for the exit. Returns the status of waitpid.
   int end();
-  // The status, if it has ended by itself.
+  // Returns the status of waitpid if the process has exited by itself.
   std::optional<int> ended();
   bool alive() const { return pid_ > 0; }
   pid_t pid() const { return pid_; }
@@ -33,7 +35,7 @@
   pid_t pid_ = -1;
 };
 
-// Ports that nobody listens at now.
+// Returns loopback ports on which nothing listens now.
 std::vector<int> free_ports(std::size_t count);
 
 }  // namespace woadtide::lab
--- a/src/lab/worker.hpp
+++ b/src/lab/worker.hpp
@@ -1,6 +1,6 @@
-// A stand-in worker on a loopback socket, as PROTOCOL has them, with its effects in a ledger. Where it
-// answers, it also keeps to docs/worker-leases.md: GET /jobs/KEY, and nothing of a key below the newest
-// epoch.
+// Test worker on a loopback socket that implements the worker protocol and records its executions in a
+// ledger. With inquiries enabled it also follows docs/worker-leases.md: it answers GET /jobs/KEY, and refuses
+// executions of a key with an epoch below the newest.
 #pragma once
 
 #include <atomic>
@@ -18,57 +18,60 @@
 
 namespace woadtide::lab {
 
-// What it does with one execution.
+// What the worker does with one execution.
 struct Plan {
   double run_ms = 5;
-  double heartbeat_ms = 0;  // gap between two `running` lines; 0: none after `started`
+  double heartbeat_ms = 0;  // interval of the `running` lines; 0: none after `started`
   enum class End { done, failed, cut, refuse } end = End::done;
   std::string result = {};  // empty: "done KEY"
 };
+// An execution as the dispatcher requested it.
 struct Begun {
   std::string id, key, body, lease, host;
   std::uint64_t epoch = 0;
   bool once = false;
-  double budget_ms = 0;  // how long the dispatcher said that it will wait
+  double budget_ms = 0;  // how long the dispatcher will wait
 };
 
+// In-process worker; serves each link on its own thread.
 class Worker {
  public:
   using Planner = std::function<Plan(const Begun&)>;
-  // `port` 0 takes a free one. Without a ledger's path nothing is written and nothing answered.
-  Worker(int port, const std::string& ledger, bool answers, Planner planner);
+  // Port 0 selects a free port. Without the path of a ledger nothing is recorded and no inquiry is answered.
+  Worker(int port, const std::string& ledger, bool answers_inquiries, Planner planner);
   ~Worker();
 
   int port() const { return acceptor_.port(); }
   std::string dial() const { return "127.0.0.1:" + std::to_string(port()); }
+  // Number of executions started.
   int executions() const { return executions_; }
-  // From here on a connection that has stood idle for so long is closed, without a word.
+  // Idle time after which a link is closed without an answer.
   void set_idle_ms(double idle_ms) { idle_ms_ = idle_ms; }
 
  private:
-  struct Known {
-    std::uint64_t fence = 0;
-    bool begun = false, here = false;  // here: in this process
+  struct JobRecord {
+    std::uint64_t newest_epoch = 0;
+    bool begun = false, in_this_process = false;  // in_this_process: started by this process
     std::string ended, result;
   };
   void serve(net::Socket& socket);
-  bool answer(net::Socket& socket, const std::string& key, std::uint64_t epoch);
-  bool execute(net::Socket& socket, const Begun& begun);
+  bool answer_inquiry(net::Socket& socket, const std::string& key, std::uint64_t epoch);
+  bool execute(net::Socket& socket, const Begun& request);
   bool write(net::Socket& socket, const std::string& text);
-  bool line(net::Socket& socket, const Begun& begun, const std::string& state,
-            const std::string& result = {});
+  bool write_event(net::Socket& socket, const Begun& request, const std::string& state,
+                   const std::string& result = {});
 
   core::Clock clock_;
   net::BufferPool pool_{256};
-  const bool answers_;
+  const bool answers_inquiries_;
   const Planner planner_;
   std::unique_ptr<Ledger> ledger_;
   std::mutex mutex_;
-  std::map<std::string, Known> book_;
+  std::map<std::string, JobRecord> jobs_;
   std::atomic<int> executions_{0};
-  std::atomic<bool> ending_{false};
+  std::atomic<bool> stopping_{false};
   std::atomic<double> idle_ms_{60'000};
-  Acceptor acceptor_;  // last
+  Acceptor acceptor_;  // declared last: its threads use the other members
 };
 
 }  // namespace woadtide::lab
