--- a/src/lab/cluster/fleet.cpp
+++ b/src/lab/cluster/fleet.cpp
@@ -22,9 +22,8 @@
 constexpr int kMaxStatusTries = 10;
 constexpr int kExitRolledBack = 1, kExitInProgress = 3;
 
-std::string toml_string(const std::string& text) {
-  return json(text).dump();
-}  // a JSON string is a valid TOML string
+// A JSON string is a valid TOML string.
+std::string toml_string(const std::string& text) { return json(text).dump(); }
 
 }  // namespace
 
--- a/src/lab/cluster/schedule.cpp
+++ b/src/lab/cluster/schedule.cpp
@@ -84,18 +84,18 @@
         fault.to_ms = std::min(
             fault.from_ms + scenario.grace_ms + random_between(kMinDrainMs, 3 * kMinDrainMs), last_end_ms);
       }
-      const std::string node = "n" + std::to_string(random_below(scenario.dispatchers));
+      const std::string dispatcher = "n" + std::to_string(random_below(scenario.dispatchers));
       const std::string worker = "w" + std::to_string(random_below(scenario.workers));
       const bool targets_worker = fault.kind == FaultKind::worker_kill || fault.kind == FaultKind::drain;
-      fault.process = targets_worker ? worker : is_controller_fault(fault.kind) ? "control" : node;
+      fault.process = targets_worker ? worker : is_controller_fault(fault.kind) ? "control" : dispatcher;
       if (is_link_fault(fault.kind)) {
         // Most links lead to workers; a dispatcher has one link to discovery and one from its clients.
         const int link_index = random_below(scenario.workers + (scenario.change.enabled ? 4 : 2));
-        fault.peer = link_index == 0 ? "discovery" : link_index == 1 ? node : worker;
+        fault.peer = link_index == 0 ? "discovery" : link_index == 1 ? dispatcher : worker;
         if (link_index == 1) fault.process = "clients";
         if (link_index > scenario.workers + 1) {
           fault.process = "control";
-          fault.peer = node;
+          fault.peer = dispatcher;
         }
       }
       faults.push_back(fault);
--- a/src/lab/cluster/schedule.hpp
+++ b/src/lab/cluster/schedule.hpp
@@ -56,8 +56,8 @@
   std::string peer = {};  // accepting side of a link, such as "discovery"; empty for other faults
 };
 
-// Returns the scenario with a random change for `seed`: the defect of the new version (none in about half of
-// the draws), the faults during the change, and whether it is aborted.
+// Returns the scenario with a random change for `seed`: the defect of the new version (none in 9 of 20
+// draws), the faults during the change, and whether it is aborted.
 Scenario draw_change_scenario(Scenario scenario, std::uint64_t seed);
 
 // Returns the faults in order of their start. Every fault ends by nine tenths of the run.
