--- a/src/lab/cluster/scenario.cpp
+++ b/src/lab/cluster/scenario.cpp
@@ -22,7 +22,7 @@
   const auto value = node.value<double>();
   if (value && *value >= min_value && *value <= max_value) return *value;
   std::ostringstream range;
-  range << key << ": expected a number from " << min_value << " to " << max_value;
+  range << key << ": expected a number from " << min_value << " to " << max_value << ", inclusive";
   fail_at(path, node, range.str());
 }
 
