--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -112,7 +112,7 @@
     case 70:
       return Status::cancelled;
     case 80:
-      return Status::moot;
+      return Status::not_started;
     default:
       throw_wrong_type(field, "a known outcome");
   }
@@ -147,7 +147,7 @@
   const json* load = find(message, "Load");
   if (!load) return std::nullopt;
   if (!load->is_object()) throw_wrong_type("Load", "an object");
-  return read_report(*load, names.x0, names.x1);
+  return read_load_report(*load, names.x0, names.x1);
 }
 
 std::string read_id(const json& message) { return text(required(message, "Ref"), "Ref"); }
@@ -251,7 +251,7 @@
 
 }  // namespace
 
-LoadReport read_report(const json& pairs, const std::string& x0, const std::string& x1) {
+LoadReport read_load_report(const json& pairs, const std::string& x0, const std::string& x1) {
   LoadReport report;
   const auto set_value = [&report](const std::string& meaning, double value) {
     if (meaning == "free slots") report.free_slots = value;
--- a/adapter/wire.hpp
+++ b/adapter/wire.hpp
@@ -27,7 +27,7 @@
 
 // Reads a load report from pairs of a name and a value; unknown names and values that are no numbers are
 // ignored. `x0` and `x1` are the meanings of the values of that name.
-LoadReport read_report(const nlohmann::json& pairs, const std::string& x0, const std::string& x1);
+LoadReport read_load_report(const nlohmann::json& pairs, const std::string& x0, const std::string& x1);
 
 // Runs any number of dispatcher instances, each addressed by the number in field "Who".
 class InstanceHost {
--- a/bench/jobs_bench.cpp
+++ b/bench/jobs_bench.cpp
@@ -55,34 +55,34 @@
   return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - from).count();
 }
 
-json config_of(lab::Discovery& discovery, int port) {
-  return lab::config_json(discovery.list(), discovery.dial(), port, 1'024, 2'000);
+json config_of(lab::TestDiscovery& discovery, int port) {
+  return lab::config_json(discovery.serialized_list(), discovery.address(), port, 1'024, 2'000);
 }
 
 // A dispatcher in this process and its workers.
 struct BenchDispatcher {
   BenchDispatcher(const fs::path& folder, const std::function<void(jobs::Settings&)>& adjust_settings) {
     for (int i = 0; i < kWorkerCount; ++i) {
-      workers.push_back(
-          std::make_unique<lab::Worker>(0, "", false, [](const lab::Begun&) { return lab::Plan{0}; }));
-      discovery.set("w" + std::to_string(i), workers.back()->dial());
+      workers.push_back(std::make_unique<lab::TestWorker>(
+          0, "", false, [](const lab::ExecutionRequest&) { return lab::ExecutionPlan{0}; }));
+      discovery.set_worker("w" + std::to_string(i), workers.back()->address());
     }
-    config::JobsPart part;
-    part.listen = "127.0.0.1:0";
-    part.folder = folder.string();
-    part.most_mb = 4'096;
-    part.links = 128;
-    node.emplace(core::read_config(config_of(discovery, 0)), clock, [&](const Parts& parts) {
-      auto created = std::make_unique<jobs::Installation>(part, parts, adjust_settings);
-      installation = created.get();
+    config::JobsSettings job_settings;
+    job_settings.listen = "127.0.0.1:0";
+    job_settings.folder = folder.string();
+    job_settings.most_mb = 4'096;
+    job_settings.links = 128;
+    node.emplace(core::read_config(config_of(discovery, 0)), clock, [&](const ExtensionContext& context) {
+      auto created = std::make_unique<jobs::JobsExtension>(job_settings, context, adjust_settings);
+      jobs_extension = created.get();
       return created;
     });
-    while (installation->port() == 0) ::usleep(1'000);
+    while (jobs_extension->port() == 0) ::usleep(1'000);
   }
   core::Clock clock;
-  lab::Discovery discovery;
-  std::vector<std::unique_ptr<lab::Worker>> workers;
-  jobs::Installation* installation = nullptr;
+  lab::TestDiscovery discovery;
+  std::vector<std::unique_ptr<lab::TestWorker>> workers;
+  jobs::JobsExtension* jobs_extension = nullptr;
   std::optional<Node> node;
 };
 
@@ -102,12 +102,12 @@
   std::vector<std::thread> threads;
   for (int number = 0; number < clients; ++number)
     threads.emplace_back([&, number] {
-      lab::JobClient client(dispatcher.installation->port());
+      lab::JobClient client(dispatcher.jobs_extension->port());
       for (int i = 0; !stop; ++i) {
         const std::string key = "b" + std::to_string(number) + '-' + std::to_string(i);
-        std::optional<lab::Heard> response;
+        std::optional<lab::JobResponse> response;
         const double us =
-            timed_us([&] { response = client.put(key, false, body, 5'000, client.now() + 5'000); });
+            timed_us([&] { response = client.submit(key, false, body, 5'000, client.now() + 5'000); });
         const bool good = response && (response->status == 202 || response->status == 200);
         if (!good) ::usleep(300);
         if (!is_measuring) continue;
@@ -139,7 +139,7 @@
       const std::string all = key + meta + body;
       if (::write(fd, all.data(), all.size()) < 0 || ::fdatasync(fd) != 0) std::perror("bare");
     }));
-    durable.push_back(timed_us([&] { store.append({{key, meta, store::Standing::open, 1, body, {}}}); }));
+    durable.push_back(timed_us([&] { store.append({{key, meta, store::RecordState::open, 1, body, {}}}); }));
   }
   ::close(fd);
   const double bare_us = median(bare), durable_us = median(durable);
@@ -149,11 +149,11 @@
 
 int run_takes(const fs::path& folder) {
   lab::install_fault_vfs();
-  lab::set_fault(lab::Fault::none, 0);
+  lab::set_fault(lab::StoreFault::none, 0);
   for (const std::size_t body : {1'000, 60'000}) compare_with_bare_write(folder, body);
   const auto synced = [](jobs::Settings&) {};
-  const auto unsynced = [](jobs::Settings& settings) { settings.store.synced = false; };
-  const auto single_commits = [](jobs::Settings& settings) { settings.most_group = 1; };
+  const auto unsynced = [](jobs::Settings& settings) { settings.store.sync_commits = false; };
+  const auto single_commits = [](jobs::Settings& settings) { settings.max_messages_per_commit = 1; };
   const DriveResult single_client = drive_clients(folder, 1, 3, 1'000, synced),
                     single_client_unsynced = drive_clients(folder, 1, 3, 1'000, unsynced);
   std::printf("front, 1 client, 1000 B: PUT p50 %.1f us, with syncs off %.1f us\n", single_client.p50_us,
@@ -168,12 +168,12 @@
         on.accepted_per_s, off.accepted_per_s, ratios.back(), on.refused_per_s, off.refused_per_s);
   }
   std::printf("front, 64 clients: median ratio %.2f\n", median(ratios));
-  lab::set_fault(lab::Fault::none, 0, 5);
+  lab::set_fault(lab::StoreFault::none, 0, 5);
   const DriveResult grouped = drive_clients(folder, 64, 4, 1'000, synced),
                     single = drive_clients(folder, 64, 4, 1'000, single_commits);
   std::printf("front, 64 clients, 5 ms on each sync: %.0f takes/s, one commit each %.0f, ratio %.1f\n",
               grouped.accepted_per_s, single.accepted_per_s, grouped.accepted_per_s / single.accepted_per_s);
-  lab::set_fault(lab::Fault::none, 0);
+  lab::set_fault(lab::StoreFault::none, 0);
   fs::remove_all(folder);
   return 0;
 }
@@ -207,7 +207,7 @@
     const auto add = [&](const std::string& key, bool open) {
       records.push_back({key,
                          meta(key, open ? "leased" : "finished"),
-                         open ? store::Standing::open : store::Standing::closed,
+                         open ? store::RecordState::open : store::RecordState::closed,
                          now,
                          std::string(200, 'b'),
                          {}});
@@ -219,7 +219,7 @@
     store.append(records);
     std::printf("store: %.0f MB\n", static_cast<double>(store.bytes_used()) / 1e6);
   }
-  lab::Discovery discovery;
+  lab::TestDiscovery discovery;
   const std::vector<int> ports = lab::free_ports(2);
   std::ofstream(folder / "config.json") << config_of(discovery, ports[0]).dump();
   std::ofstream(folder / "operator.toml")
@@ -227,12 +227,12 @@
       << "\"\nfolder = \"" << (folder / "store").string() << "\"\n";
   for (int round = 0; round < 3; ++round) {
     const double from = now_us();
-    lab::Process process({program, "serve", "--config", (folder / "config.json").string(), "--operator",
-                          (folder / "operator.toml").string()},
-                         {}, (folder / "log").string());
+    lab::ChildProcess process({program, "serve", "--config", (folder / "config.json").string(), "--operator",
+                               (folder / "operator.toml").string()},
+                              {}, (folder / "log").string());
     lab::JobClient client(ports[1]);
     for (;;) {
-      const auto response = client.call("GET /health/ready HTTP/1.1\r\n\r\n", client.now() + 1'000);
+      const auto response = client.send_request("GET /health/ready HTTP/1.1\r\n\r\n", client.now() + 1'000);
       if (response && response->status == 200) break;
       ::usleep(500);
     }
--- a/bench/plain_bench.cpp
+++ b/bench/plain_bench.cpp
@@ -53,24 +53,24 @@
 struct TestWorkers {
   explicit TestWorkers(double run_ms) {
     for (int i = 0; i < kWorkerCount; ++i) {
-      workers.push_back(std::make_unique<lab::Worker>(
-          0, "", false, [run_ms](const lab::Begun&) { return lab::Plan{run_ms}; }));
-      discovery.set("w" + std::to_string(i), workers.back()->dial());
+      workers.push_back(std::make_unique<lab::TestWorker>(
+          0, "", false, [run_ms](const lab::ExecutionRequest&) { return lab::ExecutionPlan{run_ms}; }));
+      discovery.set_worker("w" + std::to_string(i), workers.back()->address());
     }
   }
-  lab::Process start(const fs::path& folder, const std::string& program, int port) {
-    auto config = lab::config_json(discovery.list(), discovery.dial(), port, 1'024, 2'000);
+  lab::ChildProcess start(const fs::path& folder, const std::string& program, int port) {
+    auto config = lab::config_json(discovery.serialized_list(), discovery.address(), port, 1'024, 2'000);
     config["limits"]["memory_mb"] = 192;
     std::ofstream(folder / "config.json") << config.dump();
     std::vector<std::string> command;
     if (const char* core = std::getenv("PLAIN_BENCH_CORE")) command = {"/usr/bin/taskset", "-c", core};
     command.insert(command.end(), {program, "serve", "--config", (folder / "config.json").string()});
-    lab::Process process(command, {}, (folder / "log").string());
+    lab::ChildProcess process(command, {}, (folder / "log").string());
     ::usleep(300'000);
     return process;
   }
-  lab::Discovery discovery;
-  std::vector<std::unique_ptr<lab::Worker>> workers;
+  lab::TestDiscovery discovery;
+  std::vector<std::unique_ptr<lab::TestWorker>> workers;
 };
 
 // Of a process: CPU time in microseconds, and the context switches of the threads that are still alive.
@@ -111,7 +111,7 @@
       lab::JobClient client(port);
       for (int i = 0; !stop; ++i) {
         const double from = client.now();
-        const auto response = client.call(
+        const auto response = client.send_request(
             query_text("q" + std::to_string(link) + '-' + std::to_string(i), 3'000, 200), from + 3'000);
         const bool good = response && response->status == 200;
         if (good && is_measuring) times[static_cast<std::size_t>(link)].push_back(client.now() - from);
@@ -139,7 +139,7 @@
   for (int round = 0; round < kRoundCount; ++round)
     for (std::size_t program_index = 0; program_index < programs.size(); ++program_index) {
       const int port = lab::free_ports(1)[0];
-      const lab::Process process = test_workers.start(folder, programs[program_index], port);
+      const lab::ChildProcess process = test_workers.start(folder, programs[program_index], port);
       costs[program_index].push_back(drive_clients(process.pid(), port, links));
     }
   const auto median_of = [&](std::size_t program_index, double Cost::*field) {
@@ -169,12 +169,12 @@
   TestWorkers test_workers(600'000);
   for (const std::string& program : programs) {
     const int port = lab::free_ports(1)[0];
-    const lab::Process process = test_workers.start(folder, program, port);
+    const lab::ChildProcess process = test_workers.start(folder, program, port);
     const net::Address address("127.0.0.1:" + std::to_string(port));
     std::vector<net::Socket> links;
     const core::Clock clock;
     for (int i = 0; i < queries + silent_links; ++i) {
-      links.push_back(net::Socket::make(address));
+      links.push_back(net::Socket::create(address));
       if (!links.back().connect(address, 1'000)) std::perror("connect");
       if (i < queries)
         links.back().send({query_text("s" + std::to_string(i), 60'000, body)}, clock.now() + 1'000, clock);
@@ -182,7 +182,7 @@
     }
     ::usleep(3'000'000);
     int unanswered = 0;
-    for (const auto& link : links) unanswered += link.quiet() ? 1 : 0;
+    for (const auto& link : links) unanswered += link.is_idle() ? 1 : 0;
     const auto files = fs::directory_iterator("/proc/" + std::to_string(process.pid()) + "/fd");
     std::printf(
         "%s, %d queries and %d silent links: %d of them not answered, %s threads, resident %s, %td "
--- a/bench/threads_probe.cpp
+++ b/bench/threads_probe.cpp
@@ -168,7 +168,7 @@
   std::vector<Fd> links;
   std::map<int, int> peer_of;
   std::set<int> server_fds;
-  park::Crew thread_pool{{.most = 1'000, .kept = 4}};
+  park::ThreadPool thread_pool{{.max_threads = 1'000, .kept_idle_threads = 4}};
 };
 
 // One pool thread handles a query from its first byte to its answer, and another one its execution.
@@ -181,10 +181,10 @@
       relay.update_poll(relay.accept_one(listener), EPOLLIN | EPOLLONESHOT, EPOLL_CTL_ADD);
       continue;
     }
-    relay.thread_pool.take([&relay, fd, link = relay.peer_of[fd]] {
+    relay.thread_pool.try_submit([&relay, fd, link = relay.peer_of[fd]] {
       if (!read_whole(fd)) return;
       Completion completion;
-      relay.thread_pool.take([&] {
+      relay.thread_pool.try_submit([&] {
         write_whole(link);
         read_whole(link);
         completion.set();
@@ -215,7 +215,7 @@
     else if (answer)
       write_whole(to);
     else
-      relay.thread_pool.take([to] { write_whole(to); });
+      relay.thread_pool.try_submit([to] { write_whole(to); });
   }
 }
 
--- a/bench/verdict_compare.cpp
+++ b/bench/verdict_compare.cpp
@@ -29,12 +29,12 @@
     seconds += 1;
     for (const auto& [zone, pair] : slice)
       for (int side = 0; side < 2; ++side)
-        for (const auto& [name, counts] : (side == 0 ? pair.fresh : pair.old).classes) {
-          const std::array<int, 5> events = {counts.failed, counts.refused, counts.late, counts.slow[0],
-                                             counts.slow[1]};
+        for (const auto& [name, counts] : (side == 0 ? pair.changed : pair.reference).classes) {
+          const std::array<int, 5> events = {counts.failed, counts.refused, counts.served_late,
+                                             counts.slow[0], counts.slow[1]};
           for (std::size_t i = 0; i < events.size(); ++i) {
             Sum& sum = sums[name + std::to_string(i)];
-            sum.asked[side] += counts.asked;
+            sum.asked[side] += counts.accepted;
             sum.events[side] += events[i];
           }
         }
@@ -82,19 +82,19 @@
 }  // namespace
 
 int main() {
-  std::vector<std::pair<std::string, World>> worlds(6);
-  worlds[0].first = "equal, 1 of 12 changed";
-  worlds[1].first = "equal, 6 of 12 changed";
-  worlds[1].second.fresh = 6;
-  worlds[2].first = "2% of payouts fail";
-  worlds[2].second.failed = 0.02;
-  worlds[3].first = "all payouts fail";
-  worlds[3].second.failed = 1;
-  worlds[4].first = "60% more over p95, p99";
-  worlds[4].second.slow = 0.6;
-  worlds[5].first = "25% more over p95, p99; 6 of 12";
-  worlds[5].second.slow = 0.25;
-  worlds[5].second.fresh = 6;
+  std::vector<std::pair<std::string, SimulatedFleet>> fleets(6);
+  fleets[0].first = "equal, 1 of 12 changed";
+  fleets[1].first = "equal, 6 of 12 changed";
+  fleets[1].second.changed_dispatchers = 6;
+  fleets[2].first = "2% of payouts fail";
+  fleets[2].second.extra_failed_share = 0.02;
+  fleets[3].first = "all payouts fail";
+  fleets[3].second.extra_failed_share = 1;
+  fleets[4].first = "60% more over p95, p99";
+  fleets[4].second.extra_slow_share = 0.6;
+  fleets[5].first = "25% more over p95, p99; 6 of 12";
+  fleets[5].second.extra_slow_share = 0.25;
+  fleets[5].second.changed_dispatchers = 6;
   const std::vector<std::pair<const char*, Method>> methods = {
       {"fixed thresholds", [](const auto& s) { return test_windows(s, exceeds_threshold); }},
       {"windows, z at 1%", [](const auto& s) { return test_windows(s, exceeds_z_score); }},
@@ -102,13 +102,13 @@
   std::printf("%-34s", "of 400 pairs called worse (median s)");
   for (const auto& [name, method] : methods) std::printf(" %20s", name);
   std::printf("\n");
-  for (const auto& [name, world] : worlds) {
+  for (const auto& [name, fleet] : fleets) {
     std::printf("%-34s", name.c_str());
     std::vector<std::vector<int>> found(methods.size());
     for (int run = 0; run < kRunCount; ++run) {
       pcg32 random(static_cast<std::uint64_t>(run) + 50'000);
       std::vector<Slice> slices;
-      for (int at = 0; at < kMaxSeconds; ++at) slices.push_back(world.second(random, at));
+      for (int at = 0; at < kMaxSeconds; ++at) slices.push_back(fleet.next_slice(random, at));
       for (std::size_t i = 0; i < methods.size(); ++i)
         if (const auto at = methods[i].second(slices)) found[i].push_back(*at);
     }
--- a/include/woadtide/balance.hpp
+++ b/include/woadtide/balance.hpp
@@ -123,11 +123,11 @@
 
 // How an attempt ended. full: the worker turned it away. moot: it was not started, as Send::not_after had
 // passed.
-enum class Status { ok, error, full, timeout, connect_failed, reset, cancelled, moot };
+enum class Status { ok, error, full, timeout, connect_failed, reset, cancelled, not_started };
 // Whether an attempt that ended with `status` certainly did not run, so that it may be sent again whatever
 // its class.
 inline bool proves_not_run(Status status) {
-  return status == Status::full || status == Status::connect_failed || status == Status::moot;
+  return status == Status::full || status == Status::connect_failed || status == Status::not_started;
 }
 struct Outcome {
   std::string id;
@@ -166,7 +166,7 @@
 };
 // Number of processes that take clients as this dispatcher, during a hot restart. Together they send to a
 // cold worker what one process would.
-struct Sharers {
+struct SharingProcesses {
   int processes = 1;
 };
 struct TimerFired {
@@ -174,7 +174,7 @@
 };
 
 using Event = std::variant<ListUpdate, Request, RequestGone, Outcome, StreamStarted, JobStarted, JobProgress,
-                           ProbeResult, Exclude, Include, Sharers, TimerFired>;
+                           ProbeResult, Exclude, Include, SharingProcesses, TimerFired>;
 
 // Actions -----------------------------------------------------------------------------------------------
 
@@ -217,8 +217,8 @@
 
 // listed: workers on the list, including draining ones. avoided: those of them to which nothing is sent now,
 // as an operator excluded them or they are ejected for all classes.
-struct Census {
-  int listed = 0, avoided = 0;
+struct WorkerCounts {
+  int listed = 0, unavailable = 0;
 };
 
 class Dispatcher {
@@ -237,7 +237,7 @@
   bool knows(const std::string& worker) const;
 
   // Counts the workers as of `now`.
-  Census census(Micros now) const;
+  WorkerCounts worker_counts(Micros now) const;
 
   // Slots of this dispatcher's outstanding attempts at all workers; exactly zero when none is outstanding.
   double slots_out() const;
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -221,16 +221,16 @@
     return exclusions_.contains(worker) && !exclusions_.at(worker).lifted_at;
   }
 
-  Census worker_counts(Micros now) const {
-    Census counts;
+  WorkerCounts worker_counts(Micros now) const {
+    WorkerCounts counts;
     for (const auto& [name, worker] : workers_) {
       if (worker.entry.state == WorkerState::gone) continue;
       const auto is_avoided = [&](const ClassHealth& health) {
         return health.stalled || now < health.ejected_until;
       };
       counts.listed += 1;
-      counts.avoided += is_excluded(name) ||
-                        std::all_of(worker.class_health.begin(), worker.class_health.end(), is_avoided);
+      counts.unavailable += is_excluded(name) ||
+                            std::all_of(worker.class_health.begin(), worker.class_health.end(), is_avoided);
     }
     return counts;
   }
@@ -373,7 +373,7 @@
       const std::optional<int> rank = rank_of(worker, job, use_ejected);
       if (!rank || *rank > best_rank) continue;
       if (*rank < best_rank) candidates.clear(), best_rank = *rank;
-      const double draw = -std::log(draw_of(name, settings_.number) * uniform(kMinDrawFactor, 1)) *
+      const double draw = -std::log(stable_draw(name, settings_.number) * uniform(kMinDrawFactor, 1)) *
                           slowdown_of(worker) / std::max(worker.entry.weight, 0.1);
       // A turn at a cold worker is short: it goes before all other draws, or few turns would be used.
       candidates.emplace_back(worker.cold_since ? -1 / draw : draw, &worker);
@@ -660,7 +660,7 @@
         {kind.cores, *load.free_slots, kind.report_count < kMinReportsForCores ? 1 : kind.reported_cores});
   }
 
-  void on_event(const Sharers& now) { processes_ = std::max(now.processes, 1); }
+  void on_event(const SharingProcesses& now) { processes_ = std::max(now.processes, 1); }
 
   template <class Unused>
   void on_event(const Unused&) {}
@@ -677,7 +677,7 @@
     if (status == Status::full)
       worker.full_until = now_ + scaled(seconds_to_micros(mean_slot_seconds_), jitter_factor());
     if (status == Status::ok) return record_success(worker, job, attempt, has_free_slot);
-    if (status == Status::full || status == Status::moot) return;
+    if (status == Status::full || status == Status::not_started) return;
     ClassHealth& health = health_of(worker, job);
     if (status == Status::cancelled) return health.stalled ? eject(worker, health) : void();
     // A failed connect counts for all classes.
@@ -845,7 +845,7 @@
 
 bool Dispatcher::knows(const std::string& worker) const { return state_->knows(worker); }
 
-Census Dispatcher::census(Micros now) const { return state_->worker_counts(now); }
+WorkerCounts Dispatcher::worker_counts(Micros now) const { return state_->worker_counts(now); }
 
 double Dispatcher::slots_out() const { return state_->slots_out(false); }
 
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -7,11 +7,11 @@
 
 namespace options = boost::program_options;
 
-bool Arguments::read(const std::vector<std::string>& given, const std::string& usage,
-                     const std::string& description, std::size_t max_words) {
+bool ArgumentParser::parse(const std::vector<std::string>& given, const std::string& usage,
+                           const std::string& description, std::size_t max_words) {
   options.add_options()("help,h", "print this page");
   options::options_description all_options(options);
-  all_options.add_options()("word", options::value(&words));
+  all_options.add_options()("word", options::value(&positional));
   options::positional_options_description positional_options;
   positional_options.add("word", -1);
   options::variables_map values;
@@ -22,7 +22,8 @@
     std::cout << "Usage: woadtide " << usage << "\n\n" << description << "\n\n" << options;
     return false;
   }
-  if (words.size() > max_words) throw std::runtime_error("too many arguments: '" + words[max_words] + "'");
+  if (positional.size() > max_words)
+    throw std::runtime_error("too many arguments: '" + positional[max_words] + "'");
   return true;
 }
 
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -69,28 +69,28 @@
       },
       until_paused);
   const rollout::Rollout& rollout = controller.rollout();
-  const int code = phase == rollout::Phase::complete ? 0
-                   : phase == rollout::Phase::back   ? kExitRolledBack
-                                                     : kExitUnfinished;
+  const int code = phase == rollout::Phase::complete      ? 0
+                   : phase == rollout::Phase::rolled_back ? kExitRolledBack
+                                                          : kExitUnfinished;
   if (as_json)
     std::cout << json({{"change", rollout.plan().change},
                        {"outcome", code == 0                 ? "complete"
                                    : code == kExitRolledBack ? "back"
                                                              : "on its way"},
-                       {"paused", rollout.paused()},
-                       {"reason", rollout.reason()}})
+                       {"paused", rollout.pause_reason()},
+                       {"reason", rollout.rollback_reason()}})
                      .dump()
               << std::endl;
   return code;
 }
 
-int print_plan(const config::RolloutPart& settings, bool as_json) {
-  const rollout::Plan plan = control::plan_of(settings, "plan");
+int print_plan(const config::RolloutSettings& settings, bool as_json) {
+  const rollout::Plan plan = control::make_plan(settings, "plan");
   if (const std::string error = rollout::plan_error(plan); !error.empty())
     throw std::runtime_error("rollout: " + error);
   json plan_json = {{"stages", plan.stages}, {"bake_ms", plan.bake_ms}, {"members", json::array()}};
   bool all_serving = true;
-  for (const control::Standing& status : control::ask_all(settings, kStatusTimeoutMs)) {
+  for (const control::SupervisorStatus& status : control::query_supervisors(settings, kStatusTimeoutMs)) {
     all_serving = all_serving && status.reached && status.serving;
     plan_json["members"].push_back({{"name", status.name},
                                     {"zone", status.zone},
@@ -117,15 +117,15 @@
 }  // namespace
 
 int supervise_command(const std::vector<std::string>& words) {
-  Arguments arguments;
+  ArgumentParser arguments;
   OperatorOption file;
   file.add(arguments.options);
-  if (!arguments.read(words, "supervise [options]",
-                      "Runs one dispatcher, and changes its program and settings in service.\n"
-                      "SIGTERM shuts both down, SIGUSR1 only the supervisor.",
-                      0))
+  if (!arguments.parse(words, "supervise [options]",
+                       "Runs one dispatcher, and changes its program and settings in service.\n"
+                       "SIGTERM shuts both down, SIGUSR1 only the supervisor.",
+                       0))
     return 0;
-  const config::SupervisePart settings = file.load().supervise;
+  const config::SuperviseSettings settings = file.load().supervise;
   for (const auto& [key, value] :
        {std::pair{"folder", &settings.folder}, {"config", &settings.config}, {"control", &settings.control}})
     if (value->empty())
@@ -156,7 +156,7 @@
 }
 
 int rollout_command(const std::vector<std::string>& words) {
-  Arguments arguments;
+  ArgumentParser arguments;
   OperatorOption file;
   control::ChangeRequest request;
   std::string pause_reason;
@@ -169,13 +169,13 @@
       "why", options::value(&pause_reason), "pause: the reason")(
       "until-paused", options::bool_switch(&until_paused), "start, resume: exit when the change pauses")(
       "json", options::bool_switch(&as_json), "JSON instead of text");
-  if (!arguments.read(words, "rollout plan | start | status | pause | resume | abort | history [options]",
-                      "Changes the program or the settings of all dispatchers, in stages.\n"
-                      "start and resume keep running and lead the change until it has ended.",
-                      1))
+  if (!arguments.parse(words, "rollout plan | start | status | pause | resume | abort | history [options]",
+                       "Changes the program or the settings of all dispatchers, in stages.\n"
+                       "start and resume keep running and lead the change until it has ended.",
+                       1))
     return 0;
-  const std::string command = arguments.words.empty() ? "" : arguments.words.front();
-  const config::RolloutPart settings = file.load().rollout;
+  const std::string command = arguments.positional.empty() ? "" : arguments.positional.front();
+  const config::RolloutSettings settings = file.load().rollout;
   if (settings.folder.empty())
     throw std::runtime_error(file.path + ": rollout.folder: required for this command");
   if (command == "plan") return print_plan(settings, as_json);
--- a/src/cli/jobs_commands.cpp
+++ b/src/cli/jobs_commands.cpp
@@ -27,24 +27,24 @@
   if (address_text.empty()) throw std::runtime_error("jobs.operators is not set in the operator's file");
   core::Clock clock;
   const net::Address address(address_text);
-  net::Socket socket = net::Socket::make(address);
+  net::Socket socket = net::Socket::create(address);
   if (!socket.connect(address, kCallTimeoutMs)) throw std::runtime_error("no answer from " + address_text);
   const double deadline = clock.now() + kCallTimeoutMs;
   const std::string head = method + ' ' + target + " HTTP/1.1\r\nHost: " + address_text +
                            "\r\nConnection: close\r\nContent-Length: " + std::to_string(body.size()) +
                            "\r\n\r\n";
-  if (socket.send({head, body}, deadline, clock) != net::Io::done)
+  if (socket.send({head, body}, deadline, clock) != net::IoResult::done)
     throw std::runtime_error(address_text + " closed the connection early");
   std::string received;
   std::vector<char> buffer(16'384);
   std::size_t got = 0;
-  net::Io io = net::Io::done;
-  while ((io = socket.receive(buffer.data(), buffer.size(), got, deadline, clock)) == net::Io::done)
+  net::IoResult io = net::IoResult::done;
+  while ((io = socket.receive(buffer.data(), buffer.size(), got, deadline, clock)) == net::IoResult::done)
     received.append(buffer.data(), got);
   const std::size_t length = net::head_length(received);
-  if (io != net::Io::ended || length == 0)
+  if (io != net::IoResult::end_of_stream || length == 0)
     throw std::runtime_error(address_text + " closed the connection early");
-  return {net::read_answer_head(std::string_view(received).substr(0, length)).status,
+  return {net::parse_response_head(std::string_view(received).substr(0, length)).status,
           received.substr(length)};
 }
 
@@ -75,14 +75,14 @@
 
 }  // namespace
 
-int jobs_command(const Words& arguments, const config::JobsPart& settings) {
-  const std::string command = arguments.places.empty() ? "" : arguments.places[0];
+int jobs_command(const JobArguments& arguments, const config::JobsSettings& settings) {
+  const std::string command = arguments.positional.empty() ? "" : arguments.positional[0];
   const auto key = [&] {
-    if (arguments.places.size() != 2) throw std::runtime_error("jobs " + command + " needs one KEY");
-    return checked_name(arguments.places[1]);
+    if (arguments.positional.size() != 2) throw std::runtime_error("jobs " + command + " needs one KEY");
+    return checked_name(arguments.positional[1]);
   };
   Response response;
-  if (command == "list" && arguments.places.size() == 1) {
+  if (command == "list" && arguments.positional.size() == 1) {
     response = send_request(
         settings.operators, "GET",
         "/jobs" + (arguments.state.empty() ? "" : "?state=" + checked_name(arguments.state)), "");
@@ -118,14 +118,14 @@
   return 0;
 }
 
-int store_command(const Words& arguments, const config::JobsPart& settings) {
-  const std::string command = arguments.places.size() == 1 ? arguments.places[0] : "";
+int store_command(const JobArguments& arguments, const config::JobsSettings& settings) {
+  const std::string command = arguments.positional.size() == 1 ? arguments.positional[0] : "";
   if (command != "check" && command != "compact")
     throw std::runtime_error("store: expected check or compact");
   if (settings.folder.empty()) throw std::runtime_error("jobs.folder is not set in the operator's file");
   store::Options options;
   options.folder = settings.folder;
-  options.most_bytes = static_cast<std::uint64_t>(settings.most_mb) * 1'000'000;
+  options.max_bytes = static_cast<std::uint64_t>(settings.most_mb) * 1'000'000;
   store::Store store(options);
   if (command == "check") {
     std::cout << settings.folder << ": good, " << store.check() << " jobs, " << store.bytes_used()
@@ -138,9 +138,9 @@
   std::size_t dropped = 0, packed = 0;
   for (;;) {
     const auto result = store.compact(now - hours * 3'600'000, 1'000);
-    dropped += result.dropped;
-    packed += result.packed;
-    if (result.dropped + result.packed == 0) break;
+    dropped += result.deleted;
+    packed += result.compressed;
+    if (result.deleted + result.compressed == 0) break;
   }
   std::cout << settings.folder << ": " << dropped << " jobs dropped, " << packed << " packed, "
             << store.bytes_used() << " bytes\n";
--- a/src/cli/jobs_commands.hpp
+++ b/src/cli/jobs_commands.hpp
@@ -10,14 +10,14 @@
 namespace woadtide::cli {
 
 // The command line after `jobs` or `store`.
-struct Words {
-  std::vector<std::string> places;  // positional arguments
-  std::string state, as, who, why;  // values of the options of the same names
-  long long keep_hours = -1;        // negative: as set in the file
+struct JobArguments {
+  std::vector<std::string> positional;  // positional arguments
+  std::string state, as, who, why;      // values of the options of the same names
+  long long keep_hours = -1;            // negative: as set in the file
 };
 
 // Both return the exit code and throw std::runtime_error with one line.
-int jobs_command(const Words& arguments, const config::JobsPart& settings);
-int store_command(const Words& arguments, const config::JobsPart& settings);
+int jobs_command(const JobArguments& arguments, const config::JobsSettings& settings);
+int store_command(const JobArguments& arguments, const config::JobsSettings& settings);
 
 }  // namespace woadtide::cli
--- a/src/cli/settings_commands.cpp
+++ b/src/cli/settings_commands.cpp
@@ -30,7 +30,7 @@
           {"jobs.ask_every_ms", jobs.ask_every_ms},
           {"jobs.early_ms", jobs.early_ms},
           {"jobs.keep_hours", jobs.keep_hours},
-          {"jobs.answering_kinds", jobs.answering},
+          {"jobs.answering_kinds", jobs.answering_kinds},
           {"log.format", file.log.json ? "json" : "text"},
           {"log.queue", file.log.queue},
           {"supervise.folder", file.supervise.folder},
@@ -66,18 +66,19 @@
 
 }  // namespace
 
-std::vector<Changed> differences(const config::OperatorFile& from, const config::OperatorFile& to) {
-  std::vector<Changed> changed;
+std::vector<SettingChange> changed_settings(const config::OperatorFile& from,
+                                            const config::OperatorFile& to) {
+  std::vector<SettingChange> changed;
   const auto old_values = flatten(from), new_values = flatten(to);
   for (const auto& [key, value] : old_values)
     if (value != new_values.at(key)) changed.push_back({key, value.dump(), new_values.at(key).dump()});
   return changed;
 }
 
-bool changes_live(const std::string& key) { return key == "log.format"; }
+bool applies_on_reload(const std::string& key) { return key == "log.format"; }
 
 int settings_command(const std::vector<std::string>& words) {
-  Arguments arguments;
+  ArgumentParser arguments;
   std::string path, against;
   bool as_json = false;
   if (const char* value = std::getenv("WOADTIDE_OPERATOR")) path = value;
@@ -85,10 +86,10 @@
                                   "the operator's file, TOML; $WOADTIDE_OPERATOR")(
       "against", boost::program_options::value(&against), "diff: the other file")(
       "json", boost::program_options::bool_switch(&as_json), "one JSON object");
-  if (!arguments.read(words, "settings show | diff --against FILE | check [options]",
-                      "Shows, compares or checks the settings in the operator's file.", 1))
+  if (!arguments.parse(words, "settings show | diff --against FILE | check [options]",
+                       "Shows, compares or checks the settings in the operator's file.", 1))
     return 0;
-  const std::string command = arguments.words.empty() ? "" : arguments.words.front();
+  const std::string command = arguments.positional.empty() ? "" : arguments.positional.front();
   if (command != "show" && command != "diff" && command != "check")
     throw std::runtime_error("settings: expected show, diff or check");
   if (path.empty()) throw std::runtime_error("no operator's file: give --operator or set WOADTIDE_OPERATOR");
@@ -105,8 +106,8 @@
     }
   } else {
     if (against.empty()) throw std::runtime_error("settings diff needs --against FILE");
-    for (const Changed& change : differences(file, config::load_operator_file(against))) {
-      const char* takes_hold = changes_live(change.key) ? "on SIGHUP" : "by the next process";
+    for (const SettingChange& change : changed_settings(file, config::load_operator_file(against))) {
+      const char* takes_hold = applies_on_reload(change.key) ? "on SIGHUP" : "by the next process";
       output[change.key] = {
           {"from", json::parse(change.from)}, {"to", json::parse(change.to)}, {"takes_hold", takes_hold}};
       if (!as_json)
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -193,8 +193,8 @@
     for (const auto& value : *array) values.push_back(value.value_or<std::string>(""));
 }
 
-SupervisePart read_supervise(const toml::table& table) {
-  SupervisePart part;
+SuperviseSettings read_supervise(const toml::table& table) {
+  SuperviseSettings part;
   read_value(table, "folder", part.folder);
   read_value(table, "config", part.config);
   read_value(table, "control", part.control);
@@ -211,12 +211,12 @@
   return part;
 }
 
-RolloutPart read_rollout(const toml::table& table) {
-  RolloutPart part;
+RolloutSettings read_rollout(const toml::table& table) {
+  RolloutSettings part;
   read_value(table, "folder", part.folder);
   if (const auto* members = table["members"].as_array())
     for (const auto& entry : *members) {
-      RolloutPart::Member& member = part.members.emplace_back();
+      RolloutSettings::Member& member = part.members.emplace_back();
       read_value(*entry.as_table(), "name", member.name);
       read_value(*entry.as_table(), "zone", member.zone);
       read_value(*entry.as_table(), "control", member.control);
@@ -252,11 +252,11 @@
                              ": format: " + std::to_string(file.format) + " is more than one step from " +
                              std::to_string(kFileFormat) + ", which this program reads");
   if (file.format > kFileFormat)
-    remove_unknown_keys(nlohmann::json::parse(kFileSchema), document, "", file.passed_over);
+    remove_unknown_keys(nlohmann::json::parse(kFileSchema), document, "", file.ignored_keys);
   const std::string error = validation_error(document, to_json(document));
   if (!error.empty()) throw std::runtime_error(path + ':' + error);
   if (const auto* jobs = document["jobs"].as_table()) {
-    JobsPart& part = file.jobs;
+    JobsSettings& part = file.jobs;
     read_value(*jobs, "enabled", part.enabled);
     read_value(*jobs, "listen", part.listen);
     read_value(*jobs, "operators", part.operators);
@@ -269,7 +269,7 @@
     read_value(*jobs, "early_ms", part.early_ms);
     read_value(*jobs, "keep_hours", part.keep_hours);
     if (const auto* worker_kinds = (*jobs)["answering_kinds"].as_array())
-      for (const auto& kind : *worker_kinds) part.answering.push_back(kind.value_or<std::string>(""));
+      for (const auto& kind : *worker_kinds) part.answering_kinds.push_back(kind.value_or<std::string>(""));
     if (part.enabled && part.folder.empty())
       throw std::runtime_error(path + ':' + std::to_string(jobs->source().begin.line) +
                                ": jobs.folder: wanted where jobs are enabled");
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -10,7 +10,7 @@
 namespace woadtide::config {
 
 // Section [jobs]: the durable job service. Members are named like their keys.
-struct JobsPart {
+struct JobsSettings {
   bool enabled = false;
   std::string listen = "127.0.0.1:8300";
   std::string operators;            // address of the operators' listener; empty if there is none
@@ -22,17 +22,17 @@
   std::int64_t ask_every_ms = 250;
   std::int64_t early_ms = 250;
   std::int64_t keep_hours = 168;
-  std::vector<std::string> answering;  // kinds of workers that answer inquiries about jobs
+  std::vector<std::string> answering_kinds;  // kinds of workers that answer inquiries about jobs
 };
 
 // Section [log].
-struct LogPart {
+struct LogSettings {
   bool json = false;           // one JSON object per line instead of text
   std::int64_t queue = 8'192;  // capacity in lines
 };
 
 // Section [supervise]: the supervisor of one dispatcher. See docs/supervise.md.
-struct SupervisePart {
+struct SuperviseSettings {
   std::string folder, config, control;  // all three are required by `woadtide supervise`
   std::string zone = "";
   std::vector<std::string> management;  // two addresses
@@ -43,7 +43,7 @@
 };
 
 // Section [rollout]: staged changes of the fleet. See docs/rollout.md.
-struct RolloutPart {
+struct RolloutSettings {
   // A dispatcher of the fleet. `control`: address of its supervisor.
   struct Member {
     std::string name, zone, control;
@@ -65,11 +65,11 @@
 // The whole file.
 struct OperatorFile {
   std::int64_t format = kFileFormat;
-  std::vector<std::string> passed_over;  // unknown keys of a newer format
-  JobsPart jobs;
-  LogPart log;
-  SupervisePart supervise;
-  RolloutPart rollout;
+  std::vector<std::string> ignored_keys;  // unknown keys of a newer format
+  JobsSettings jobs;
+  LogSettings log;
+  SuperviseSettings supervise;
+  RolloutSettings rollout;
 };
 
 // Reads and validates the file. Throws std::runtime_error with one line of text that names the file, line,
--- a/src/control/assessor.cpp
+++ b/src/control/assessor.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::map<std::string, std::string> zones_of(const config::RolloutPart& part) {
+std::map<std::string, std::string> zones_of(const config::RolloutSettings& part) {
   std::map<std::string, std::string> zones;
   for (const auto& member : part.members) zones[member.name] = member.zone;
   return zones;
@@ -20,14 +20,14 @@
 
 }  // namespace
 
-Assessor::Assessor(const config::RolloutPart& part)
+Assessor::Assessor(const config::RolloutSettings& part)
     : margin_(part.margin),
       false_stop_(part.false_stop),
       false_go_(part.false_go),
       baseline_ms_(part.look_ms),
       cohorts_(zones_of(part)) {}
 
-void Assessor::look(const std::map<std::string, Sample>& samples, const Rollout& rollout) {
+void Assessor::add_samples(const std::map<std::string, Sample>& samples, const Rollout& rollout) {
   std::set<std::string> unchanged;
   for (const auto& member : rollout.plan().members) {
     const MemberState state = rollout.member_state(member.name);
@@ -57,7 +57,7 @@
   return assignment;
 }
 
-void Assessor::judge(double now, Rollout& rollout) {
+void Assessor::assess(double now, Rollout& rollout) {
   if (rollout.phase() != Phase::moving && rollout.phase() != Phase::baking) {
     verdict_.reset();
     return;
@@ -91,10 +91,10 @@
   const verdict::Verdict& active_verdict = no_reference ? *baseline_verdict_ : *verdict_;
   const verdict::Outcome outcome = active_verdict.outcome();
   if (outcome == verdict::Outcome::worse)
-    rollout.judged(now, rollout::Word::worse, active_verdict.reason());
+    rollout.on_assessment(now, rollout::StageAssessment::worse, active_verdict.reason());
   else if (outcome == verdict::Outcome::not_worse)
-    rollout.judged(now, rollout::Word::not_worse, {});
-  if (no_reference || !last || rollout.over()) return;
+    rollout.on_assessment(now, rollout::StageAssessment::not_worse, {});
+  if (no_reference || !last || rollout.finished()) return;
   const std::string why = regression_reason(now, cohorts_.slice_against_baseline(assignment), limits);
   if (!why.empty()) rollout.pause("all run it, and do worse than before: " + why);
 }
@@ -116,7 +116,7 @@
   return why;
 }
 
-void order_by_traffic(std::vector<config::RolloutPart::Member>& members,
+void order_by_traffic(std::vector<config::RolloutSettings::Member>& members,
                       const std::map<std::string, double>& asked) {
   const auto queries_of = [&](const auto& member) {
     const auto found = asked.find(member.name);
--- a/src/control/assessor.hpp
+++ b/src/control/assessor.hpp
@@ -16,14 +16,14 @@
 
 class Assessor {
  public:
-  explicit Assessor(const config::RolloutPart& part);
+  explicit Assessor(const config::RolloutSettings& part);
 
   // Adds the samples of all dispatchers that were reached. Those that are not changed yet extend their
   // baseline.
-  void look(const std::map<std::string, Sample>& samples, const rollout::Rollout& rollout);
+  void add_samples(const std::map<std::string, Sample>& samples, const rollout::Rollout& rollout);
   // Compares the cohorts of the current stage, if there are new samples, and passes the assessment to the
   // rollout. `now` is in milliseconds.
-  void judge(double now, rollout::Rollout& rollout);
+  void assess(double now, rollout::Rollout& rollout);
   // Starts the comparison of the stage anew, after a pause.
   void restart_comparison() { verdict_.reset(); }
   // The stage, from 0, in which each member was moved; stored by the owner between its runs.
@@ -50,7 +50,7 @@
 
 // Sorts members into the order in which they are changed: busy ones first, because the comparison needs
 // queries for an early result, but the busiest quarter last. `asked`: queries per second by member.
-void order_by_traffic(std::vector<config::RolloutPart::Member>& members,
+void order_by_traffic(std::vector<config::RolloutSettings::Member>& members,
                       const std::map<std::string, double>& asked);
 
 }  // namespace woadtide::control
--- a/src/control/cohorts.cpp
+++ b/src/control/cohorts.cpp
@@ -8,7 +8,7 @@
 
 namespace woadtide::control {
 
-using core::ClassFigures;
+using core::ClassStats;
 using nlohmann::json;
 
 namespace {
@@ -20,25 +20,25 @@
 constexpr double kChanceDeviations = 1.5;
 constexpr double kWilsonZ = 2.5;  // z of the Wilson interval of a baseline share
 
-std::uint64_t sum_of(const std::array<std::uint64_t, core::kBins>& bins) {
+std::uint64_t sum_of(const std::array<std::uint64_t, core::kLatencyBinCount>& bins) {
   return std::accumulate(bins.begin(), bins.end(), std::uint64_t{0});
 }
 
-void add_to(core::Figures& total, const core::Figures& added) {
+void add_to(core::DispatcherStats& total, const core::DispatcherStats& added) {
   for (const auto& [name, figures] : added) {
-    ClassFigures& sum = total[name];
-    sum.asked += figures.asked;
+    ClassStats& sum = total[name];
+    sum.accepted += figures.accepted;
     sum.served += figures.served;
     sum.refused += figures.refused;
     sum.failed += figures.failed;
-    sum.late += figures.late;
-    for (std::size_t i = 0; i < core::kBins; ++i) sum.bins[i] += figures.bins[i];
+    sum.served_late += figures.served_late;
+    for (std::size_t i = 0; i < core::kLatencyBinCount; ++i) sum.latency_bins[i] += figures.latency_bins[i];
   }
 }
 
-std::uint64_t accepted_of(const core::Figures& classes) {
+std::uint64_t accepted_of(const core::DispatcherStats& classes) {
   std::uint64_t sum = 0;
-  for (const auto& [name, figures] : classes) sum += figures.asked;
+  for (const auto& [name, figures] : classes) sum += figures.accepted;
   return sum;
 }
 
@@ -53,14 +53,15 @@
   interval.restarts = now.crashes - before.crashes;
   for (const auto& [name, figures] : now.classes) {
     const auto found = before.classes.find(name);
-    const ClassFigures none, &was = found == before.classes.end() ? none : found->second;
-    ClassFigures& counts = interval.classes[name];
-    counts.asked = figures.asked - was.asked;
+    const ClassStats none, &was = found == before.classes.end() ? none : found->second;
+    ClassStats& counts = interval.classes[name];
+    counts.accepted = figures.accepted - was.accepted;
     counts.served = figures.served - was.served;
     counts.refused = figures.refused - was.refused;
     counts.failed = figures.failed - was.failed;
-    counts.late = figures.late - was.late;
-    for (std::size_t i = 0; i < core::kBins; ++i) counts.bins[i] = figures.bins[i] - was.bins[i];
+    counts.served_late = figures.served_late - was.served_late;
+    for (std::size_t i = 0; i < core::kLatencyBinCount; ++i)
+      counts.latency_bins[i] = figures.latency_bins[i] - was.latency_bins[i];
   }
   return interval;
 }
@@ -108,22 +109,22 @@
 // Returns the latency bin above which a query is slower than `share` of those in the baseline: the
 // dispatcher's own if it has served enough, otherwise the fleet's.
 std::size_t Cohorts::slow_bin(const std::string& member, const std::string& class_name, double share) const {
-  const ClassFigures* from = nullptr;
+  const ClassStats* from = nullptr;
   const auto baseline = baselines_.find(member);
   if (baseline != baselines_.end() && baseline->second.classes.contains(class_name))
     from = &baseline->second.classes.at(class_name);
-  if (!from || static_cast<double>(sum_of(from->bins)) < kMinOwnServed) {
+  if (!from || static_cast<double>(sum_of(from->latency_bins)) < kMinOwnServed) {
     const auto all = all_baselines_.find(class_name);
-    if (all == all_baselines_.end()) return core::kBins;
+    if (all == all_baselines_.end()) return core::kLatencyBinCount;
     from = &all->second;
   }
-  const double required = share * static_cast<double>(sum_of(from->bins));
+  const double required = share * static_cast<double>(sum_of(from->latency_bins));
   double sum = 0;
-  for (std::size_t bin = 0; bin < core::kBins; ++bin) {
-    sum += static_cast<double>(from->bins[bin]);
+  for (std::size_t bin = 0; bin < core::kLatencyBinCount; ++bin) {
+    sum += static_cast<double>(from->latency_bins[bin]);
     if (sum >= required) return bin;
   }
-  return core::kBins;
+  return core::kLatencyBinCount;
 }
 
 // A dispatcher whose baseline matches the fleet's is measured by the fleet's share. One that differed by more
@@ -165,56 +166,56 @@
   side.dispatchers += 1;
   for (const auto& [name, figures] : interval.classes) {
     verdict::Counts& counts = side.classes[name];
-    const auto asked = static_cast<double>(figures.asked);
-    counts.asked += static_cast<int>(figures.asked);
+    const auto asked = static_cast<double>(figures.accepted);
+    counts.accepted += static_cast<int>(figures.accepted);
     counts.refused += static_cast<int>(figures.refused);
     counts.failed += static_cast<int>(figures.failed);
-    counts.late += static_cast<int>(figures.late);
-    const core::ClassFigures none;
-    const auto class_of = [&](const core::Figures& classes) -> const ClassFigures& {
+    counts.served_late += static_cast<int>(figures.served_late);
+    const core::ClassStats none;
+    const auto class_of = [&](const core::DispatcherStats& classes) -> const ClassStats& {
       const auto found = classes.find(name);
       return found == classes.end() ? none : found->second;
     };
-    const ClassFigures &own = baseline == baselines_.end() ? none : class_of(baseline->second.classes),
-                       &all = class_of(all_baselines_);
+    const ClassStats &own = baseline == baselines_.end() ? none : class_of(baseline->second.classes),
+                     &all = class_of(all_baselines_);
     const auto add = [](verdict::Counts::Expected& to, const verdict::Counts::Expected& added) {
       to.lower += added.lower;
       to.mean += added.mean;
       to.upper += added.upper;
     };
-    const auto expected = [&](std::uint64_t ClassFigures::*what) {
-      return expected_events(asked, static_cast<double>(own.*what), static_cast<double>(own.asked),
-                             static_cast<double>(all.*what), static_cast<double>(all.asked));
+    const auto expected = [&](std::uint64_t ClassStats::*what) {
+      return expected_events(asked, static_cast<double>(own.*what), static_cast<double>(own.accepted),
+                             static_cast<double>(all.*what), static_cast<double>(all.accepted));
     };
-    add(counts.expected_refused, expected(&ClassFigures::refused));
-    add(counts.expected_failed, expected(&ClassFigures::failed));
-    add(counts.expected_late, expected(&ClassFigures::late));
+    add(counts.expected_refused, expected(&ClassStats::refused));
+    add(counts.expected_failed, expected(&ClassStats::failed));
+    add(counts.expected_late, expected(&ClassStats::served_late));
     for (const auto& [index, share] : {std::pair<std::size_t, double>{0, 0.95}, {1, 0.99}}) {
       const std::size_t from = slow_bin(member, name, share) + 1;
-      const auto slower_than_bin = [&](const ClassFigures& counted) {
+      const auto slower_than_bin = [&](const ClassStats& counted) {
         std::uint64_t sum = 0;
-        for (std::size_t bin = from; bin < core::kBins; ++bin) sum += counted.bins[bin];
+        for (std::size_t bin = from; bin < core::kLatencyBinCount; ++bin) sum += counted.latency_bins[bin];
         return static_cast<double>(sum);
       };
       counts.slow[index] += static_cast<int>(slower_than_bin(figures));
       add(counts.expected_slow[index],
-          expected_events(asked, slower_than_bin(own), static_cast<double>(own.asked), slower_than_bin(all),
-                          static_cast<double>(all.asked)));
+          expected_events(asked, slower_than_bin(own), static_cast<double>(own.accepted),
+                          slower_than_bin(all), static_cast<double>(all.accepted)));
     }
   }
 }
 
 bool Cohorts::has_latencies(const Interval& interval) {
   return std::none_of(interval.classes.begin(), interval.classes.end(), [](const auto& item) {
-    return item.second.served > 0 && sum_of(item.second.bins) == 0;
+    return item.second.served > 0 && sum_of(item.second.latency_bins) == 0;
   });
 }
 
 void Cohorts::drop_latencies(verdict::Slice& slice) {
   for (auto& [zone, pair] : slice)
-    for (verdict::CohortStats* side : {&pair.fresh, &pair.old})
+    for (verdict::CohortStats* side : {&pair.changed, &pair.reference})
       for (auto& [name, counts] : side->classes) {
-        counts.late = 0;
+        counts.served_late = 0;
         counts.slow = {};
       }
 }
@@ -226,8 +227,8 @@
     const auto found = assignment.find(member);
     const Cohort cohort = found == assignment.end() ? Cohort::none : found->second;
     if (cohort == Cohort::none) continue;
-    verdict::Pair& pair = slice[zones_.at(member)];
-    add(cohort == Cohort::changed ? pair.fresh : pair.old, member, interval);
+    verdict::CohortPair& pair = slice[zones_.at(member)];
+    add(cohort == Cohort::changed ? pair.changed : pair.reference, member, interval);
     latencies = latencies && has_latencies(interval);
   }
   if (!latencies) drop_latencies(slice);
@@ -244,9 +245,10 @@
     if (found == assignment.end() || found->second != Cohort::changed || baseline == baselines_.end())
       continue;
     if (baseline->second.intervals.empty()) continue;
-    verdict::Pair& pair = slice[zones_.at(member)];
-    add(pair.fresh, member, interval);
-    add(pair.old, member, baseline->second.intervals[baseline_slices_ % baseline->second.intervals.size()]);
+    verdict::CohortPair& pair = slice[zones_.at(member)];
+    add(pair.changed, member, interval);
+    add(pair.reference, member,
+        baseline->second.intervals[baseline_slices_ % baseline->second.intervals.size()]);
     latencies =
         latencies && has_latencies(interval) &&
         has_latencies(baseline->second.intervals[baseline_slices_ % baseline->second.intervals.size()]);
@@ -262,7 +264,7 @@
                        {"memory_mb", baseline.memory_mb},
                        {"cpu_ms", baseline.cpu_ms},
                        {"looks", baseline.samples},
-                       {"classes", core::text_of(baseline.classes)}};
+                       {"classes", core::serialize(baseline.classes)}};
   return members.dump();
 }
 
@@ -275,7 +277,7 @@
       baseline.memory_mb = fields.at("memory_mb");
       baseline.cpu_ms = fields.at("cpu_ms");
       baseline.samples = fields.at("looks");
-      baseline.classes = core::read_figures(fields.at("classes"));
+      baseline.classes = core::parse_stats(fields.at("classes"));
       add_to(all_baselines_, baseline.classes);
     }
   } catch (const json::exception& error) {
--- a/src/control/cohorts.hpp
+++ b/src/control/cohorts.hpp
@@ -21,7 +21,7 @@
   int pid = 0;      // a different one: the counts started again
   int crashes = 0;  // unplanned process ends, in total
   double memory_mb = 0, cpu_ms = 0;
-  core::Figures classes;
+  core::DispatcherStats classes;
 };
 
 // The cohort of a dispatcher: `changed` runs the new version, `reference` is what it is compared with.
@@ -50,13 +50,13 @@
   struct Interval {
     double ms = 0, memory_mb = 0, cpu_ms = 0;
     int restarts = 0;
-    core::Figures classes;
+    core::DispatcherStats classes;
   };
   // What a dispatcher did before it was changed.
   struct Baseline {
     double ms = 0, memory_mb = 0, cpu_ms = 0;  // memory_mb: sum over samples
     int samples = 0;
-    core::Figures classes;
+    core::DispatcherStats classes;
     std::deque<Interval> intervals;  // the latest
   };
   void add(verdict::CohortStats& side, const std::string& member, const Interval& interval) const;
@@ -75,7 +75,7 @@
   std::map<std::string, Sample> last_samples_;
   std::map<std::string, Interval> last_intervals_;
   std::map<std::string, Baseline> baselines_;
-  core::Figures all_baselines_;  // sum over all dispatchers
+  core::DispatcherStats all_baselines_;  // sum over all dispatchers
   double mean_memory_mb_ = 0, cpu_ms_per_query_ = 0;
   std::size_t baseline_slices_ = 0;  // number of calls to slice_against_baseline()
 };
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -56,8 +56,9 @@
 const char* name_of(MemberState state) { return kMemberStateNames[static_cast<std::size_t>(state)]; }
 const char* name_of(Order::Kind kind) { return kOrderNames[static_cast<std::size_t>(kind)]; }
 
-Standing read_standing(const config::RolloutPart::Member& member, const std::optional<std::string>& answer) {
-  Standing standing;
+SupervisorStatus read_standing(const config::RolloutSettings::Member& member,
+                               const std::optional<std::string>& answer) {
+  SupervisorStatus standing;
   standing.name = member.name;
   standing.zone = member.zone;
   standing.control = member.control;
@@ -95,7 +96,7 @@
     sample.crashes = stats.at("crashes");
     sample.memory_mb = stats.at("memory_mb");
     sample.cpu_ms = stats.at("cpu_ms");
-    sample.classes = core::read_figures(stats.at("classes").dump());
+    sample.classes = core::parse_stats(stats.at("classes").dump());
     return sample;
   } catch (const std::exception&) {
     return std::nullopt;
@@ -103,7 +104,7 @@
 }
 
 // Returns the queries per second of each member, averaged over the life of its process.
-std::map<std::string, double> traffic_of(const config::RolloutPart& settings) {
+std::map<std::string, double> traffic_of(const config::RolloutSettings& settings) {
   std::vector<net::LineCall> calls;
   for (const auto& member : settings.members) {
     calls.push_back({member.control, "figures", std::nullopt});
@@ -118,7 +119,7 @@
         answer && answer->starts_with("done ") ? json::parse(answer->substr(5), nullptr, false) : json();
     if (!sample || !status.is_object()) continue;
     double queries = 0;
-    for (const auto& [name, counts] : sample->classes) queries += static_cast<double>(counts.asked);
+    for (const auto& [name, counts] : sample->classes) queries += static_cast<double>(counts.accepted);
     traffic[settings.members[i].name] = queries / std::max(status.value("since_ms", 0.0), 1.0);
   }
   return traffic;
@@ -137,12 +138,12 @@
 }
 
 // Returns the rollout and its members as JSON, in the form of `status`.
-json describe(const Rollout& rollout, const std::map<std::string, Standing>& standings) {
+json describe(const Rollout& rollout, const std::map<std::string, SupervisorStatus>& standings) {
   json members = json::object();
   for (const auto& member : rollout.plan().members) {
     const auto found = standings.find(member.name);
-    const Standing none, &standing = found == standings.end() ? none : found->second;
-    const auto order = rollout.out(member.name);
+    const SupervisorStatus none, &standing = found == standings.end() ? none : found->second;
+    const auto order = rollout.outstanding_order(member.name);
     members[member.name] = {{"zone", member.zone},
                             {"place", name_of(rollout.member_state(member.name))},
                             {"reached", standing.reached},
@@ -152,26 +153,26 @@
                             {"evacuated", standing.evacuated},
                             {"order", order ? name_of(order->kind) : ""}};
   }
-  return {{"change", rollout.plan().change}, {"phase", name_of(rollout.phase())},
-          {"stage", rollout.stage() + 1},    {"stages", rollout.plan().stages},
-          {"on_new", rollout.on_new()},      {"allowed", rollout.allowed_on_new()},
-          {"paused", rollout.paused()},      {"reason", rollout.reason()},
+  return {{"change", rollout.plan().change},       {"phase", name_of(rollout.phase())},
+          {"stage", rollout.stage() + 1},          {"stages", rollout.plan().stages},
+          {"on_new", rollout.new_version_count()}, {"allowed", rollout.allowed_on_new()},
+          {"paused", rollout.pause_reason()},      {"reason", rollout.rollback_reason()},
           {"members", std::move(members)}};
 }
 
 }  // namespace
 
-std::vector<Standing> ask_all(const config::RolloutPart& settings, double within_ms) {
+std::vector<SupervisorStatus> query_supervisors(const config::RolloutSettings& settings, double within_ms) {
   std::vector<net::LineCall> calls;
   for (const auto& member : settings.members) calls.push_back({member.control, "status", std::nullopt});
   net::call_all(calls, within_ms);
-  std::vector<Standing> standings;
+  std::vector<SupervisorStatus> standings;
   for (std::size_t i = 0; i < calls.size(); ++i)
     standings.push_back(read_standing(settings.members[i], calls[i].answer));
   return standings;
 }
 
-rollout::Plan plan_of(const config::RolloutPart& settings, const std::string& change) {
+rollout::Plan make_plan(const config::RolloutSettings& settings, const std::string& change) {
   rollout::Plan plan;
   plan.change = change;
   for (const auto& member : settings.members) plan.members.push_back({member.name, member.zone});
@@ -191,7 +192,7 @@
 // Controller ----------------------------------------------------------------------------------------------
 
 struct Controller::State {
-  explicit State(const config::RolloutPart& initial)
+  explicit State(const config::RolloutSettings& initial)
       : rollout_settings(initial),
         state_file(initial.folder + "/state"),
         baseline_file(initial.folder + "/past"),
@@ -206,8 +207,8 @@
                               O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
     if (!history)
       throw std::system_error(errno, std::generic_category(), rollout_settings.folder + "/history.jsonl");
-    const state::Read read = state_file.read();
-    if (!read.trouble.empty()) append_history({{"what", "trouble"}, {"why", read.trouble}});
+    const state::ReadResult read = state_file.read();
+    if (!read.warning.empty()) append_history({{"what", "trouble"}, {"why", read.warning}});
     if (read.text) restore(*read.text);
     if (id.empty()) id = random_id();
   }
@@ -252,7 +253,7 @@
                  {"candidates", candidates},
                  {"moved_in", assessor.move_stages()},
                  {"looked", baselines_complete},
-                 {"rollout", rollout->text()}})
+                 {"rollout", rollout->serialize()}})
         .dump();
   }
   // Returns false if the state could not be stored; then no order may be sent.
@@ -281,12 +282,12 @@
   void report_progress(const Controller::ProgressCallback& on_progress) {
     const auto& plan = rollout->plan();
     std::string summary = std::string(name_of(rollout->phase()));
-    if (!rollout->over() && rollout->phase() != Phase::checking)
+    if (!rollout->finished() && rollout->phase() != Phase::checking)
       summary += ", stage " + std::to_string(rollout->stage() + 1) + " of " +
-                 std::to_string(plan.stages.size()) + ", " + std::to_string(rollout->on_new()) + " of " +
-                 std::to_string(rollout->allowed_on_new());
-    if (!rollout->paused().empty()) summary += ", paused: " + rollout->paused();
-    if (!rollout->reason().empty()) summary += ", because " + rollout->reason();
+                 std::to_string(plan.stages.size()) + ", " + std::to_string(rollout->new_version_count()) +
+                 " of " + std::to_string(rollout->allowed_on_new());
+    if (!rollout->pause_reason().empty()) summary += ", paused: " + rollout->pause_reason();
+    if (!rollout->rollback_reason().empty()) summary += ", because " + rollout->rollback_reason();
     std::string kept_out;
     for (const auto& member : plan.members)
       if (rollout->member_state(member.name) == MemberState::kept_out)
@@ -300,9 +301,9 @@
                     {"phase", name_of(rollout->phase())},
                     {"stage", rollout->stage() + 1},
                     {"allowed", rollout->allowed_on_new()},
-                    {"on_new", rollout->on_new()},
-                    {"paused", rollout->paused()},
-                    {"reason", rollout->reason()},
+                    {"on_new", rollout->new_version_count()},
+                    {"paused", rollout->pause_reason()},
+                    {"reason", rollout->rollback_reason()},
                     {"places", std::move(places)}});
     if (on_progress) on_progress(plan.change + ": " + summary);
   }
@@ -313,14 +314,14 @@
   void run_cycle(const Controller::ProgressCallback& on_progress) {
     const double timeout_ms = std::min(rollout_settings.turn_ms, kMaxCallMs);
     const double queried_at = clock.now();
-    for (Standing& standing : ask_all(rollout_settings, timeout_ms)) {
+    for (SupervisorStatus& standing : query_supervisors(rollout_settings, timeout_ms)) {
       if (standing.reached) last_reached_at[standing.name] = queried_at;
       standings[standing.name] = std::move(standing);
     }
     if (started_at == 0) restore_after_start();
     for (const auto& member : rollout->plan().members) process_status(standings.at(member.name));
     collect_statistics();
-    assessor.judge(clock.now(), *rollout);
+    assessor.assess(clock.now(), *rollout);
     const auto least_certain = assessor.least_certain();
     if (least_certain.first != last_least_certain) {
       last_least_certain = least_certain.first;
@@ -336,7 +337,7 @@
   void restore_after_start() {
     started_at = clock.now();
     for (const auto& [name, standing] : standings) rollout->raise_order_number(standing.last_order_number);
-    const state::Read read = baseline_file.read();
+    const state::ReadResult read = baseline_file.read();
     if (baselines_complete && read.text) assessor.cohorts().restore_baselines(*read.text);
   }
   // Stores the baselines, recorded before the first move, for the next run of this controller.
@@ -351,9 +352,9 @@
 
   // Passes what a supervisor reports to the rollout: the result of an order, a fallback, or the version that
   // runs. Pauses if another controller leads there.
-  void process_status(const Standing& standing) {
+  void process_status(const SupervisorStatus& standing) {
     const double now = clock.now();
-    const auto order = rollout->out(standing.name);
+    const auto order = rollout->outstanding_order(standing.name);
     if (standing.reached && !standing.controller.empty() && standing.controller != id &&
         (!order || standing.last_order_number >= order->number) &&
         (order || rollout->phase() != Phase::checking)) {
@@ -372,7 +373,7 @@
                         {"number", order->number},
                         {"done", done},
                         {"why", standing.failure_reason}});
-        rollout->answered(now, *order, done, standing.failure_reason);
+        rollout->on_order_result(now, *order, done, standing.failure_reason);
       }
       return;
     }
@@ -388,7 +389,7 @@
     const bool alive = standing.reached && standing.serving;
     const bool runs_new =
         has_candidate && standing.version == candidate->second && standing.previous != candidate->second;
-    rollout->found(now, standing.name, alive, runs_new);
+    rollout->on_member_status(now, standing.name, alive, runs_new);
   }
 
   // Collects the statistics of all dispatchers and adds them as a new slice.
@@ -404,7 +405,7 @@
     std::map<std::string, Sample> samples;
     for (std::size_t i = 0; i < calls.size(); ++i)
       if (const auto sample = read_sample(clock.now(), calls[i].answer)) samples[names[i]] = *sample;
-    assessor.look(samples, *rollout);
+    assessor.add_samples(samples, *rollout);
   }
 
   // Sends the orders of the stored state that their members have not received yet.
@@ -413,8 +414,8 @@
     std::vector<Order> orders;
     for (const auto& member : rollout_settings.members) {
       if (!is_plan_member(member.name)) continue;
-      const auto order = rollout->out(member.name);
-      const Standing& standing = standings.at(member.name);
+      const auto order = rollout->outstanding_order(member.name);
+      const SupervisorStatus& standing = standings.at(member.name);
       if (!order || !standing.reached ||
           (standing.last_order_number >= order->number && standing.controller == id))
         continue;
@@ -440,7 +441,7 @@
                       {"number", orders[i].number},
                       {"said", calls[i].answer.value_or("nothing")}});
       if (calls[i].answer && calls[i].answer->starts_with("error "))
-        rollout->answered(clock.now(), orders[i], false, calls[i].answer->substr(6));
+        rollout->on_order_result(clock.now(), orders[i], false, calls[i].answer->substr(6));
     }
   }
   // Returns true if the current plan, not only the operator's file, has the member.
@@ -462,7 +463,7 @@
       std::size_t got = 0;
       while (line.find('\n') == std::string::npos && line.size() < sizeof received &&
              client.receive(received, sizeof received, got, deadline_clock.now() + kCommandTimeoutMs,
-                            deadline_clock) == net::Io::done)
+                            deadline_clock) == net::IoResult::done)
         line.append(received, got);
       const std::size_t end = line.find('\n');
       if (end == std::string::npos) continue;
@@ -498,10 +499,10 @@
     rollout->resume(clock.now());
   }
 
-  const config::RolloutPart rollout_settings;
+  const config::RolloutSettings rollout_settings;
   core::Clock clock;
   park::Fd lock, history;
-  state::File state_file, baseline_file;
+  state::StateFile state_file, baseline_file;
   Assessor assessor;
   std::string id;
   ChangeRequest change;
@@ -509,17 +510,17 @@
   std::map<std::string, std::string> candidates;
   bool baselines_complete = false, superseded = false, save_failed = false;
   std::string saved_text, reported_progress;
-  std::map<std::string, Standing> standings;
+  std::map<std::string, SupervisorStatus> standings;
   std::map<std::string, double> last_reached_at;
   double started_at = 0;
   std::string last_least_certain;  // the measure that was least certain when last noted
   net::Socket command_socket;
 };
 
-Controller::Controller(const config::RolloutPart& settings) : state_(std::make_unique<State>(settings)) {}
+Controller::Controller(const config::RolloutSettings& settings) : state_(std::make_unique<State>(settings)) {}
 Controller::~Controller() = default;
 
-bool Controller::has_change() const { return state_->rollout && !state_->rollout->over(); }
+bool Controller::has_change() const { return state_->rollout && !state_->rollout->finished(); }
 const Rollout& Controller::rollout() const { return *state_->rollout; }
 
 void Controller::begin(const ChangeRequest& request) {
@@ -536,10 +537,10 @@
   state.assessor.move_stages().clear();
   state.baselines_complete = false;
   const std::uint64_t last_order_number = state.rollout ? state.rollout->last_order_number() : 0;
-  config::RolloutPart sorted = state.rollout_settings;
+  config::RolloutSettings sorted = state.rollout_settings;
   order_by_traffic(sorted.members, traffic_of(state.rollout_settings));
   try {
-    state.rollout.emplace(plan_of(sorted, "c-" + random_id().substr(0, 8)));
+    state.rollout.emplace(make_plan(sorted, "c-" + random_id().substr(0, 8)));
   } catch (const std::invalid_argument& error) {
     throw std::runtime_error(std::string("rollout: ") + error.what());
   }
@@ -555,9 +556,9 @@
 
 Phase Controller::run(const ProgressCallback& on_progress, bool until_paused) {
   State& state = *state_;
-  const net::UnixPlace socket_path(state.rollout_settings.folder, kCommandSocketName),
+  const net::UnixSocketPath socket_path(state.rollout_settings.folder, kCommandSocketName),
       temporary_path(state.rollout_settings.folder, std::string(kCommandSocketName) + ".new");
-  state.command_socket = net::listen_over(socket_path, temporary_path);
+  state.command_socket = net::listen_replacing(socket_path, temporary_path);
   if (!state.command_socket)
     throw std::system_error(errno, std::generic_category(),
                             state.rollout_settings.folder + ": cannot listen on the command socket");
@@ -566,13 +567,13 @@
   for (const int signal : {SIGTERM, SIGINT}) sigaddset(&signals, signal);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   const park::Fd signal_fd(::signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC));
-  while (!state.rollout->over()) {
+  while (!state.rollout->finished()) {
     const double cycle_started_at = state.clock.now();
     state.run_cycle(on_progress);
-    if (state.superseded || (until_paused && !state.rollout->paused().empty())) break;
+    if (state.superseded || (until_paused && !state.rollout->pause_reason().empty())) break;
     for (double remaining_ms;
          (remaining_ms = cycle_started_at + state.rollout_settings.turn_ms - state.clock.now()) > 0 &&
-         !state.rollout->over();) {
+         !state.rollout->finished();) {
       std::array<pollfd, 2> polled{{{signal_fd.get(), POLLIN, 0}, {state.command_socket.fd(), POLLIN, 0}}};
       ::poll(polled.data(), polled.size(), static_cast<int>(remaining_ms) + 1);
       if (polled[0].revents) {
@@ -589,33 +590,34 @@
 
 // Access from other processes -----------------------------------------------------------------------------
 
-std::optional<std::string> send_command(const config::RolloutPart& settings, const std::string& command) {
+std::optional<std::string> send_command(const config::RolloutSettings& settings, const std::string& command) {
   if (settings.folder.empty()) throw std::runtime_error("rollout.folder is not set in the operator's file");
   const core::Clock clock;
-  net::Socket link = net::make_unix();
-  if (!link || !net::UnixPlace(settings.folder, kCommandSocketName).call(::connect, link))
+  net::Socket link = net::make_unix_socket();
+  if (!link || !net::UnixSocketPath(settings.folder, kCommandSocketName).call(::connect, link))
     return std::nullopt;
   // A cycle may be in progress; the controller answers after it.
   const double deadline = clock.now() + 4 * kMaxCallMs + settings.turn_ms;
   const timeval timeout{static_cast<time_t>(5 + settings.turn_ms / 1'000), 0};
   ::setsockopt(link.fd(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
-  if (link.send({command + "\n"}, deadline, clock) != net::Io::done) return std::nullopt;
+  if (link.send({command + "\n"}, deadline, clock) != net::IoResult::done) return std::nullopt;
   std::string answer;
   char received[16 * 1024];
   std::size_t got = 0;
-  while (link.receive(received, sizeof received, got, deadline, clock) == net::Io::done)
+  while (link.receive(received, sizeof received, got, deadline, clock) == net::IoResult::done)
     answer.append(received, got);
   if (answer.empty() || answer.back() != '\n') return std::nullopt;
   answer.pop_back();
   return answer;
 }
 
-std::string status_json(const config::RolloutPart& settings) {
+std::string status_json(const config::RolloutSettings& settings) {
   if (const auto answer = send_command(settings, "status")) return *answer;
-  std::map<std::string, Standing> standings;
-  for (Standing& standing : ask_all(settings, kMaxCallMs)) standings[standing.name] = std::move(standing);
+  std::map<std::string, SupervisorStatus> standings;
+  for (SupervisorStatus& standing : query_supervisors(settings, kMaxCallMs))
+    standings[standing.name] = std::move(standing);
   json status;
-  const state::Read read = state::File(settings.folder + "/state").read();
+  const state::ReadResult read = state::StateFile(settings.folder + "/state").read();
   if (read.text) {
     const json object = json::parse(*read.text);
     status = describe(Rollout::parse(object.at("rollout")), standings);
@@ -631,7 +633,7 @@
   return status.dump();
 }
 
-std::string read_history(const config::RolloutPart& settings) {
+std::string read_history(const config::RolloutSettings& settings) {
   return contents(settings.folder + "/history.jsonl");
 }
 
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -21,7 +21,7 @@
 };
 
 // The status that a supervisor reports. `reached` is false if it did not answer.
-struct Standing {
+struct SupervisorStatus {
   std::string name, zone, control;
   bool reached = false, serving = false, evacuated = false;
   std::string version, desired, last_good, candidate, previous, controller, change, progress, failure_reason,
@@ -30,12 +30,12 @@
   int crashes = 0;
 };
 // Asks all supervisors for their status, concurrently, for at most `within_ms`.
-std::vector<Standing> ask_all(const config::RolloutPart& settings, double within_ms);
+std::vector<SupervisorStatus> query_supervisors(const config::RolloutSettings& settings, double within_ms);
 
 class Controller {
  public:
   // Locks the folder and restores its state. Throws std::runtime_error if another controller has the lock.
-  explicit Controller(const config::RolloutPart& settings);
+  explicit Controller(const config::RolloutSettings& settings);
   ~Controller();
 
   // Returns true if there is a change that has not ended.
@@ -61,13 +61,13 @@
 
 // Returns the status as JSON: from the running controller, or from the folder and the supervisors if none
 // runs.
-std::string status_json(const config::RolloutPart& settings);
+std::string status_json(const config::RolloutSettings& settings);
 // Returns the history, one JSON object per line.
-std::string read_history(const config::RolloutPart& settings);
+std::string read_history(const config::RolloutSettings& settings);
 // Sends one command to the running controller. Returns its answer, or nothing if none runs.
-std::optional<std::string> send_command(const config::RolloutPart& settings, const std::string& command);
+std::optional<std::string> send_command(const config::RolloutSettings& settings, const std::string& command);
 
 // Returns the plan for the settings. If they name no stages: one member, a quarter, all.
-rollout::Plan plan_of(const config::RolloutPart& settings, const std::string& change);
+rollout::Plan make_plan(const config::RolloutSettings& settings, const std::string& change);
 
 }  // namespace woadtide::control
--- a/src/core/clock.hpp
+++ b/src/core/clock.hpp
@@ -33,7 +33,7 @@
   double from_monotonic(double ms) const { return ms - steady_ms_at_start() + unix_at_start_; }
   // Returns the time `ms` milliseconds of real time ago; for a clock that tests have stopped, the current
   // time.
-  double ago(double ms) const { return frozen_at_.load() >= 0 ? now() : now() - ms; }
+  double before_now(double ms) const { return frozen_at_.load() >= 0 ? now() : now() - ms; }
   // For tests: stops the clock at `ms` until it is set again.
   void set(double ms) { frozen_at_.store(ms); }
 
--- a/src/core/config.cpp
+++ b/src/core/config.cpp
@@ -30,12 +30,12 @@
     config.management = object.value("management", "");
     config.seed = read_seed(object.at("seed").get<std::string>());
     if (const auto limits = object.find("limits"); limits != object.end()) {
-      config.sockets = limits->value("sockets", config.sockets);
-      config.memory_mb = limits->value("memory_mb", config.memory_mb);
+      config.max_sockets = limits->value("sockets", config.max_sockets);
+      config.max_memory_mb = limits->value("memory_mb", config.max_memory_mb);
     }
-    if (object.contains("known")) config.known = read_host_list(object["known"]);
+    if (object.contains("known")) config.known_endpoints = parse_endpoint_list(object["known"]);
     config.settings = woadtide::wire::read_settings(object.at("settings"), config.class_names);
-    if (config.settings.list_on_request) config.settings.list_binds_after = to_micros(kToldWithinMs);
+    if (config.settings.list_on_request) config.settings.list_binds_after = to_micros(kUpdateBindsAfterMs);
     config.settings.list_must_be_told = !config.settings.list_on_request;
     check(config.settings);
     return config;
@@ -59,7 +59,8 @@
 }
 
 std::string version_line(const Config& config) {
-  return config.version + " kin " + std::to_string(kKinVersion) + " settings " + config.settings_id;
+  return config.version + " kin " + std::to_string(kSiblingProtocolVersion) + " settings " +
+         config.settings_id;
 }
 
 }  // namespace woadtide::core
--- a/src/core/config.hpp
+++ b/src/core/config.hpp
@@ -16,13 +16,14 @@
   std::string name, listen, discovery;  // listen and discovery: host:port
   std::string management;               // address for operators' commands; empty: none
   // Descriptor of the socket on which the platform listens for this process; -1: none.
-  int passed_socket = -1;
-  std::string folder;  // shared by all processes of this dispatcher; empty: none
-  std::string tether;  // path of the control socket, where a supervisor finds this process; empty: none
+  int passed_socket_fd = -1;
+  std::string shared_folder;  // shared by all processes of this dispatcher; empty: none
+  std::string
+      control_socket_path;  // path of the control socket, where a supervisor finds this process; empty: none
   std::string version = "0", settings_id = "none";  // reported by version_line()
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024, memory_mb = 192;  // limits of the process, memory in MB
-  HostList known;                               // endpoint list to start with
+  std::size_t max_sockets = 1024, max_memory_mb = 192;  // limits of the process, memory in MB
+  EndpointList known_endpoints;                         // endpoint list to start with
   woadtide::Settings settings;
   std::vector<std::string> class_names;  // in the order of settings.classes
 };
--- a/src/core/decision_loop.cpp
+++ b/src/core/decision_loop.cpp
@@ -18,7 +18,8 @@
 
 DecisionLoop::DecisionLoop(woadtide::Settings settings, std::vector<std::string> class_names,
                            std::uint64_t seed, Clock& clock, Inbox& inbox, Executor& executor,
-                           HostSource& endpoint_source, Kin& sibling, Witness* observer)
+                           EndpointSource& endpoint_source, SiblingProcess& sibling,
+                           ExecutionObserver* observer)
     : class_names_(std::move(class_names)),
       class_settings_(settings.classes),
       report_x0_meaning_(settings.report_x0),
@@ -35,7 +36,7 @@
 
 double DecisionLoop::step() {
   // Messages go before timers: a result that has arrived wins over a deadline that has passed meanwhile.
-  for (Message& message : inbox_.take())
+  for (Message& message : inbox_.take_all())
     run_logging_exceptions([&] { std::visit([this](auto& received) { handle(received); }, message); });
   run_logging_exceptions([this] { fire_due_timers(); });
   if (clock_.now() - interval_start_ >= kCountsIntervalMs) log_interval_counts();
@@ -69,13 +70,13 @@
 
 // Incoming messages ------------------------------------------------------------------------------------
 
-void DecisionLoop::handle(QueryArrived& message) {
+void DecisionLoop::handle(QueryReceived& message) {
   Query& query = message.query;
   interval_counts_.queries += 1;
   const auto name = std::find(class_names_.begin(), class_names_.end(), query.class_name);
   if (const char* rejection = find_rejection_reason(query, name != class_names_.end())) {
     interval_counts_.answers[static_cast<std::size_t>(AnswerKind::bad_query)] += 1;
-    return message.asker->answer({AnswerKind::bad_query, rejection});
+    return message.reply_callback->on_answer({AnswerKind::bad_query, rejection});
   }
   const auto class_index = static_cast<std::size_t>(name - class_names_.begin());
   const double now = clock_.now();
@@ -83,16 +84,16 @@
   const double target_time = settings.aim
                                  ? now + to_ms(*settings.aim) + settings.stretch * query.cost_ms.value_or(0)
                                  : query.deadline;
-  class_totals_[class_index].stats.asked += 1;
-  open_queries_.emplace(query.id, OpenQuery{std::move(message.asker),
-                                            std::move(query.parcel),
+  class_totals_[class_index].stats.accepted += 1;
+  open_queries_.emplace(query.id, OpenQuery{std::move(message.reply_callback),
+                                            std::move(query.payload),
                                             class_index,
                                             query.deadline,
                                             now,
                                             target_time,
                                             {}});
   timers_by_time_.emplace(query.deadline, Timer{query.id, kQueryDeadline});
-  sibling_.tell({Word::Kind::query, query.id});
+  sibling_.send({SiblingMessage::Kind::query, query.id});
   woadtide::Request request;
   request.id = query.id;
   request.class_index = class_index;
@@ -124,11 +125,11 @@
   oldest_first_.pop_front();
 }
 
-void DecisionLoop::handle(ClientGone& message) {
+void DecisionLoop::handle(ClientDisconnected& message) {
   const auto found = open_queries_.find(message.query);
   // The id may belong to another client's open query, for which this client's query was rejected.
   if (found == open_queries_.end() || !found->second.reply_callback ||
-      found->second.reply_callback != message.asker)
+      found->second.reply_callback != message.reply_callback)
     return;
   interval_counts_.client_disconnects += 1;
   release_client(*found);
@@ -142,12 +143,12 @@
 }
 
 void DecisionLoop::handle(ExecutionStarted& message) {
-  if (observer_) observer_->heard(message.key);
+  if (observer_) observer_->on_activity(message.key);
   feed_module(woadtide::JobStarted{message.key.query, message.key.attempt});
 }
 
 void DecisionLoop::handle(ExecutionProgress& message) {
-  if (observer_) observer_->heard(message.key);
+  if (observer_) observer_->on_activity(message.key);
   feed_module(woadtide::JobProgress{message.key.query, message.key.attempt});
 }
 
@@ -155,7 +156,7 @@
   const auto found = open_queries_.find(message.key.query);
   if (found == open_queries_.end()) return;
   if (observer_ && is_pending(message.key))
-    observer_->ended(message.key, message.status, message.result, message.failed || message.bad_query);
+    observer_->on_ended(message.key, message.status, message.result, message.failed || message.bad_query);
   // Only the first result is sent to the client, and before the module handles it, to avoid delay.
   if (message.status == Status::ok && found->second.reply_callback && is_pending(message.key))
     settle(*found, {AnswerKind::served, std::move(message.result)});
@@ -163,53 +164,54 @@
   // worker would accept the query either.
   if (message.bad_query) {
     settle(*found, {AnswerKind::bad_query, "the worker cannot use it"});
-    return finish_execution(message.key, Status::cancelled, message.report);
+    return finish_execution(message.key, Status::cancelled, message.load_report);
   }
-  finish_execution(message.key, message.status, message.report);
+  finish_execution(message.key, message.status, message.load_report);
 }
 
 void DecisionLoop::handle(ProbeEnded& message) {
   std::optional<woadtide::LoadReport> load;
   if (message.status == Status::ok)
-    load = read_load_report(message.report, report_x0_meaning_, report_x1_meaning_);
+    load = parse_load_report(message.load_report, report_x0_meaning_, report_x1_meaning_);
   feed_module(woadtide::ProbeResult{message.worker, message.status, load});
 }
 
 // Both processes of a hot restart are one dispatcher: a list update that this process received binds the
 // sibling process too, which may not have received it yet. So it is passed on first.
-void DecisionLoop::handle(ListTold& message) {
+void DecisionLoop::handle(ListUpdateReceived& message) {
   const woadtide::ListKind kind = message.update.kind;
-  if ((kind == woadtide::ListKind::full || kind == woadtide::ListKind::changes) && !sibling_.alone())
-    sibling_.tell({Word::Kind::list, endpoint_source_.list()});
+  if ((kind == woadtide::ListKind::full || kind == woadtide::ListKind::changes) && !sibling_.has_no_sibling())
+    sibling_.send({SiblingMessage::Kind::list, endpoint_source_.serialized_list()});
   feed_module(message.update);
 }
 
 // Exclusions by an operator hold across a hot restart, and an id that is in progress at one process, or was
 // handled before, must not run at the other.
-void DecisionLoop::handle(KinJoined&) {
-  sibling_.tell({Word::Kind::list, endpoint_source_.list()});
-  for (const std::string& worker : excluded_workers_) sibling_.tell({Word::Kind::exclude, worker});
-  for (const auto& [id, open] : open_queries_) sibling_.tell({Word::Kind::query, id});
-  for (const std::string& id : replay_cache_.ids_oldest_first()) sibling_.tell({Word::Kind::query, id});
-  sibling_.tell({Word::Kind::told});
+void DecisionLoop::handle(SiblingJoined&) {
+  sibling_.send({SiblingMessage::Kind::list, endpoint_source_.serialized_list()});
+  for (const std::string& worker : excluded_workers_) sibling_.send({SiblingMessage::Kind::exclude, worker});
+  for (const auto& [id, open] : open_queries_) sibling_.send({SiblingMessage::Kind::query, id});
+  for (const std::string& id : replay_cache_.ids_oldest_first())
+    sibling_.send({SiblingMessage::Kind::query, id});
+  sibling_.send({SiblingMessage::Kind::told});
 }
 
-void DecisionLoop::handle(KinSaid& message) {
-  const Word& word = message.word;
-  if (word.kind == Word::Kind::query) return replay_cache_.add(word.id);
-  if (word.kind == Word::Kind::list) return endpoint_source_.hear_list(word.id);
-  exclude(word.id, word.kind == Word::Kind::exclude);
+void DecisionLoop::handle(SiblingMessageReceived& message) {
+  const SiblingMessage& word = message.message;
+  if (word.kind == SiblingMessage::Kind::query) return replay_cache_.add(word.content);
+  if (word.kind == SiblingMessage::Kind::list) return endpoint_source_.merge_sibling_list(word.content);
+  exclude(word.content, word.kind == SiblingMessage::Kind::exclude);
 }
 
-void DecisionLoop::handle(OperatorCall& message) {
-  if (message.kind == OperatorCall::Kind::telemetry) return message.answer.set_value(telemetry_reply());
-  if (message.kind == OperatorCall::Kind::figures) return message.answer.set_value(stats_reply());
+void DecisionLoop::handle(OperatorCommand& message) {
+  if (message.kind == OperatorCommand::Kind::telemetry) return message.reply.set_value(telemetry_reply());
+  if (message.kind == OperatorCommand::Kind::figures) return message.reply.set_value(stats_reply());
   const std::string& worker = message.worker;
-  if (!module_.knows(worker)) return message.answer.set_value("error no worker has this id\n");
-  const bool excluded = message.kind == OperatorCall::Kind::exclude;
+  if (!module_.knows(worker)) return message.reply.set_value("error no worker has this id\n");
+  const bool excluded = message.kind == OperatorCommand::Kind::exclude;
   exclude(worker, excluded);
-  sibling_.tell({excluded ? Word::Kind::exclude : Word::Kind::include, worker});
-  message.answer.set_value("done\n");
+  sibling_.send({excluded ? SiblingMessage::Kind::exclude : SiblingMessage::Kind::include, worker});
+  message.reply.set_value("done\n");
 }
 
 // The module stops choosing the worker. The executor is told too, for executions that are already on their
@@ -218,16 +220,18 @@
   const bool changed =
       excluded ? excluded_workers_.insert(worker).second : excluded_workers_.erase(worker) > 0;
   if (changed) log_line("operator: " + worker + (excluded ? " is out by hand" : " may serve again"));
-  executor_.exclude(worker, excluded);
+  executor_.set_excluded(worker, excluded);
   if (excluded)
     feed_module(woadtide::Exclude{worker});
   else
     feed_module(woadtide::Include{worker});
 }
 
-void DecisionLoop::handle(Sharers& message) { feed_module(woadtide::Sharers{message.processes}); }
+void DecisionLoop::handle(AcceptingProcesses& message) {
+  feed_module(woadtide::SharingProcesses{message.processes});
+}
 
-void DecisionLoop::handle(FinishAll&) {
+void DecisionLoop::handle(FailOpenQueries&) {
   std::vector<std::string> unsettled;
   for (const auto& [id, open] : open_queries_)
     if (open.reply_callback) unsettled.push_back(id);
@@ -264,7 +268,7 @@
   if (action.timeout.count() > 0)
     timers_by_time_.emplace(std::min(now + to_ms(action.timeout), open.deadline),
                             Timer{key.query, key.attempt});
-  const double not_after = action.not_after.count() > 0 ? to_ms(action.not_after) : Execution::kAlways;
+  const double not_after = action.not_after.count() > 0 ? to_ms(action.not_after) : Execution::kNoTimeLimit;
   executor_.start({key, action.worker, open.payload, open.deadline, not_after});
 }
 
@@ -287,7 +291,7 @@
   executor_.cancel({action.id, action.attempt});
 }
 void DecisionLoop::carry_out(const woadtide::Probe& action) { executor_.probe(action.worker); }
-void DecisionLoop::carry_out(const woadtide::Watch&) { endpoint_source_.watch(); }
+void DecisionLoop::carry_out(const woadtide::Watch&) { endpoint_source_.start_watch(); }
 void DecisionLoop::carry_out(const woadtide::SetTimer& action) {
   timers_by_time_.emplace(to_ms(action.at), Timer{action.token, kModuleTimer});
 }
@@ -297,23 +301,23 @@
 
 // The only place that answers a client with an outcome, so that each query is settled exactly once.
 void DecisionLoop::settle(Queries::value_type& query, Answer answer) {
-  const std::shared_ptr<Asker> reply_callback = release_client(query);
+  const std::shared_ptr<ReplyCallback> reply_callback = release_client(query);
   if (!reply_callback) return;
   const OpenQuery& open = query.second;
   interval_counts_.answers[static_cast<std::size_t>(answer.kind)] += 1;
-  ClassFigures& stats = class_totals_[open.class_index].stats;
+  ClassStats& stats = class_totals_[open.class_index].stats;
   if (answer.kind == AnswerKind::served)
     stats.add_served(clock_.now() - open.received_at, clock_.now() > open.target_time);
   else
     (answer.kind == AnswerKind::refused ? stats.refused : stats.failed) += 1;
-  reply_callback->answer(std::move(answer));
+  reply_callback->on_answer(std::move(answer));
 }
 
 // From here on no client waits for the query. An execution that still waits for a thread, a connection or its
 // last byte would run in vain, or worse: make a payout of which the client does not learn.
-std::shared_ptr<Asker> DecisionLoop::release_client(Queries::value_type& query) {
+std::shared_ptr<ReplyCallback> DecisionLoop::release_client(Queries::value_type& query) {
   auto& [id, open] = query;
-  std::shared_ptr<Asker> reply_callback = std::exchange(open.reply_callback, nullptr);
+  std::shared_ptr<ReplyCallback> reply_callback = std::exchange(open.reply_callback, nullptr);
   if (!reply_callback) return nullptr;
   for (std::size_t i = 0; i < open.executions.size(); ++i)
     if (open.executions[i].pending) executor_.withdraw({id, static_cast<int>(i)});
@@ -344,7 +348,7 @@
   outcome.latency = to_micros(clock_.now() - open.executions[index].sent_at);
   outcome.closed = !open.reply_callback;
   if (!load_report.empty())
-    outcome.load = read_load_report(load_report, report_x0_meaning_, report_x1_meaning_);
+    outcome.load = parse_load_report(load_report, report_x0_meaning_, report_x1_meaning_);
   feed_module(outcome);
   erase_if_finished(key.query);
 }
@@ -352,7 +356,7 @@
 void DecisionLoop::time_out_execution(const ExecutionKey& key) {
   if (!is_pending(key)) return;
   executor_.cancel(key);
-  if (observer_) observer_->ended(key, Status::timeout, {}, false);
+  if (observer_) observer_->on_ended(key, Status::timeout, {}, false);
   finish_execution(key, Status::timeout, {});
 }
 
@@ -396,22 +400,22 @@
                                       {"forwards.", totals.forwards}})
       append_metric(name + class_names_[i], value, "|c\n");
   }
-  const woadtide::Census worker_counts = module_.census(to_micros(clock_.now()));
+  const woadtide::WorkerCounts worker_counts = module_.worker_counts(to_micros(clock_.now()));
   // A settled query that only waits for the end of an execution is not outstanding for any client.
   const auto is_unsettled = [](const auto& item) { return item.second.reply_callback != nullptr; };
   append_metric("outstanding", std::count_if(open_queries_.begin(), open_queries_.end(), is_unsettled),
                 "|g\n");
   append_metric("discovered", worker_counts.listed, "|g\n");
-  append_metric("ejected", worker_counts.avoided, "|g\n");
+  append_metric("ejected", worker_counts.unavailable, "|g\n");
   return text + "end\n";
 }
 
 // One JSON object, for comparing dispatchers with each other; counts start at zero with the process.
 std::string DecisionLoop::stats_reply() const {
-  Figures stats_by_class;
+  DispatcherStats stats_by_class;
   for (std::size_t i = 0; i < class_totals_.size(); ++i)
     stats_by_class[class_names_[i]] = class_totals_[i].stats;
-  return "done " + text_of(stats_by_class) + "\n";
+  return "done " + serialize(stats_by_class) + "\n";
 }
 
 void DecisionLoop::log_interval_counts() {
--- a/src/core/decision_loop.hpp
+++ b/src/core/decision_loop.hpp
@@ -28,8 +28,8 @@
   // `class_names` are in the order of `settings.classes`; `seed` seeds the module's random numbers. The
   // references, and `observer` where it is given, must outlive the loop.
   DecisionLoop(woadtide::Settings settings, std::vector<std::string> class_names, std::uint64_t seed,
-               Clock& clock, Inbox& inbox, Executor& executor, HostSource& endpoint_source, Kin& sibling,
-               Witness* observer = nullptr);
+               Clock& clock, Inbox& inbox, Executor& executor, EndpointSource& endpoint_source,
+               SiblingProcess& sibling, ExecutionObserver* observer = nullptr);
 
   // Handles all queued messages, then all due timers. Returns the time in ms until the next timer is due, at
   // most the interval of the log's counts. Logs exceptions instead of letting them out.
@@ -40,9 +40,9 @@
     double sent_at = 0;
     bool pending = true;  // its ending has not been handled yet
   };
-  struct OpenQuery {                        // a query that is unanswered, or has pending executions
-    std::shared_ptr<Asker> reply_callback;  // empty once the query is settled
-    Parcel payload;
+  struct OpenQuery {                                // a query that is unanswered, or has pending executions
+    std::shared_ptr<ReplyCallback> reply_callback;  // empty once the query is settled
+    Payload payload;
     std::size_t class_index = 0;
     double deadline = 0;
     double received_at = 0, target_time = 0;  // an answer after target_time counts as late
@@ -60,7 +60,7 @@
   };
   struct ClassTotals {  // of one class, since the process started
     std::uint64_t forwards = 0;
-    ClassFigures stats;
+    ClassStats stats;
   };
   using Queries = std::map<std::string, OpenQuery>;
   // The most recent ids of finished queries that may have run; a repeat of one is rejected.
@@ -76,19 +76,19 @@
     std::deque<std::string> oldest_first_;
   };
 
-  void handle(QueryArrived& message);
-  void handle(ClientGone& message);
+  void handle(QueryReceived& message);
+  void handle(ClientDisconnected& message);
   void handle(ExecutionSent& message);
   void handle(ExecutionStarted& message);
   void handle(ExecutionProgress& message);
   void handle(ExecutionEnded& message);
   void handle(ProbeEnded& message);
-  void handle(ListTold& message);
-  void handle(KinJoined& message);
-  void handle(KinSaid& message);
-  void handle(Sharers& message);
-  void handle(OperatorCall& message);
-  void handle(FinishAll& message);
+  void handle(ListUpdateReceived& message);
+  void handle(SiblingJoined& message);
+  void handle(SiblingMessageReceived& message);
+  void handle(AcceptingProcesses& message);
+  void handle(OperatorCommand& message);
+  void handle(FailOpenQueries& message);
 
   void carry_out(const woadtide::Send& action);
   void carry_out(const woadtide::Refuse& action);
@@ -107,7 +107,7 @@
   void settle(Queries::value_type& query, Answer answer);
   // Detaches the client from the query and withdraws its pending executions. Returns the client's callback,
   // or nullptr where it was detached before.
-  std::shared_ptr<Asker> release_client(Queries::value_type& query);
+  std::shared_ptr<ReplyCallback> release_client(Queries::value_type& query);
   bool is_pending(const ExecutionKey& key) const;
   void finish_execution(const ExecutionKey& key, woadtide::Status status, const std::string& load_report);
   void time_out_execution(const ExecutionKey& key);
@@ -126,9 +126,9 @@
   Clock& clock_;
   Inbox& inbox_;
   Executor& executor_;
-  HostSource& endpoint_source_;
-  Kin& sibling_;
-  Witness* const observer_;  // may be null
+  EndpointSource& endpoint_source_;
+  SiblingProcess& sibling_;
+  ExecutionObserver* const observer_;  // may be null
   Queries open_queries_;
   ReplayCache replay_cache_;
   std::multimap<double, Timer> timers_by_time_;
--- a/src/core/endpoint.cpp
+++ b/src/core/endpoint.cpp
@@ -58,7 +58,7 @@
 bool operator==(const Endpoint& left, const Endpoint& right) {
   const woadtide::ListEntry& a = left.entry;
   const woadtide::ListEntry& b = right.entry;
-  return a.worker == b.worker && left.dial == right.dial && a.state == b.state && a.zone == b.zone &&
+  return a.worker == b.worker && left.address == right.address && a.state == b.state && a.zone == b.zone &&
          a.kind == b.kind && a.cell == b.cell && a.weight == b.weight && a.started == b.started;
 }
 
@@ -73,7 +73,7 @@
   endpoint.entry.weight = optional(object, "share", 1.0);
   const double born = optional(object, "born_ms", 0.0);
   if (born > 0) endpoint.entry.started = to_micros(born);
-  endpoint.dial = required<std::string>(object, "dial");
+  endpoint.address = required<std::string>(object, "dial");
   return endpoint;
 }
 
--- a/src/core/endpoint.hpp
+++ b/src/core/endpoint.hpp
@@ -13,7 +13,7 @@
 // A worker as service discovery lists it, with its address.
 struct Endpoint {
   woadtide::ListEntry entry;
-  std::string dial;  // address (host:port) at which this dispatcher reaches it
+  std::string address;  // address (host:port) at which this dispatcher reaches it
 
   // Returns the id of the worker.
   const std::string& name() const { return entry.worker; }
--- a/src/core/figures.cpp
+++ b/src/core/figures.cpp
@@ -17,62 +17,64 @@
 constexpr double kBinGrowth = 1.08;
 }
 
-std::size_t bin_of(double ms) {
+std::size_t latency_bin_of(double ms) {
   if (!(ms > 1)) return 0;
-  return std::min(kBins - 1, static_cast<std::size_t>(std::ceil(std::log(ms) / std::log(kBinGrowth))));
+  return std::min(kLatencyBinCount - 1,
+                  static_cast<std::size_t>(std::ceil(std::log(ms) / std::log(kBinGrowth))));
 }
 
-double top_of(std::size_t bin) { return std::pow(kBinGrowth, static_cast<double>(bin)); }
+double latency_bin_limit_ms(std::size_t bin) { return std::pow(kBinGrowth, static_cast<double>(bin)); }
 
-void ClassFigures::add_served(double ms, bool is_late) {
+void ClassStats::add_served(double ms, bool is_late) {
   served += 1;
-  late += is_late ? 1 : 0;
-  bins[bin_of(ms)] += 1;
+  served_late += is_late ? 1 : 0;
+  latency_bins[latency_bin_of(ms)] += 1;
 }
 
-std::string text_of(const Figures& stats_by_class) {
+std::string serialize(const DispatcherStats& stats_by_class) {
   json classes = json::object();
   for (const auto& [name, stats] : stats_by_class) {
     json bins = json::array();  // pairs: most are empty
-    for (std::size_t i = 0; i < kBins; ++i)
-      if (stats.bins[i] != 0) bins.push_back({i, stats.bins[i]});
-    classes[name] = {{"asked", stats.asked},   {"served", stats.served}, {"refused", stats.refused},
-                     {"failed", stats.failed}, {"late", stats.late},     {"bins", std::move(bins)}};
+    for (std::size_t i = 0; i < kLatencyBinCount; ++i)
+      if (stats.latency_bins[i] != 0) bins.push_back({i, stats.latency_bins[i]});
+    classes[name] = {{"asked", stats.accepted}, {"served", stats.served},    {"refused", stats.refused},
+                     {"failed", stats.failed},  {"late", stats.served_late}, {"bins", std::move(bins)}};
   }
   return classes.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-Figures read_telemetry(const std::string& text) {
-  Figures stats_by_class;
+DispatcherStats parse_telemetry(const std::string& text) {
+  DispatcherStats stats_by_class;
   std::istringstream lines(text);
   for (std::string line; std::getline(lines, line);) {
     const std::size_t colon = line.rfind(':');
     if (colon == std::string::npos) continue;
     const std::uint64_t value = std::strtoull(line.c_str() + colon + 1, nullptr, 10);
-    for (const auto& [prefix, counter] : {std::pair{"app.succeeded.", &ClassFigures::served},
-                                          {"app.declined.", &ClassFigures::refused},
-                                          {"app.aborted.", &ClassFigures::failed}}) {
+    for (const auto& [prefix, counter] : {std::pair{"app.succeeded.", &ClassStats::served},
+                                          {"app.declined.", &ClassStats::refused},
+                                          {"app.aborted.", &ClassStats::failed}}) {
       if (!line.starts_with(prefix)) continue;
-      ClassFigures& stats = stats_by_class[line.substr(std::strlen(prefix), colon - std::strlen(prefix))];
+      ClassStats& stats = stats_by_class[line.substr(std::strlen(prefix), colon - std::strlen(prefix))];
       stats.*counter = value;
-      stats.asked += value;  // an open query is counted once it has ended
+      stats.accepted += value;  // an open query is counted once it has ended
     }
   }
   return stats_by_class;
 }
 
-Figures read_figures(const std::string& text) {
+DispatcherStats parse_stats(const std::string& text) {
   try {
-    Figures stats_by_class;
+    DispatcherStats stats_by_class;
     const json classes = json::parse(text);
     for (const auto& [name, fields] : classes.items()) {
-      ClassFigures& stats = stats_by_class[name];
-      stats.asked = fields.at("asked");
+      ClassStats& stats = stats_by_class[name];
+      stats.accepted = fields.at("asked");
       stats.served = fields.at("served");
       stats.refused = fields.at("refused");
       stats.failed = fields.at("failed");
-      stats.late = fields.at("late");
-      for (const json& bin : fields.at("bins")) stats.bins.at(bin.at(0).get<std::size_t>()) = bin.at(1);
+      stats.served_late = fields.at("late");
+      for (const json& bin : fields.at("bins"))
+        stats.latency_bins.at(bin.at(0).get<std::size_t>()) = bin.at(1);
     }
     return stats_by_class;
   } catch (const std::exception& error) {
--- a/src/core/host_list.cpp
+++ b/src/core/host_list.cpp
@@ -9,9 +9,9 @@
 
 using woadtide::WorkerState;
 
-std::string text_of(const HostList& list) {
+std::string serialize(const EndpointList& list) {
   nlohmann::json endpoints = nlohmann::json::array();
-  for (const Endpoint& endpoint : list.hosts) {
+  for (const Endpoint& endpoint : list.endpoints) {
     const woadtide::ListEntry& entry = endpoint.entry;
     const char* health = entry.state == WorkerState::ready      ? "Ready"
                          : entry.state == WorkerState::draining ? "Terminating"
@@ -23,21 +23,22 @@
                          {"share", entry.weight},
                          {"health", health},
                          {"born_ms", entry.started ? to_ms(*entry.started) : 0.0},
-                         {"dial", endpoint.dial}});
+                         {"dial", endpoint.address}});
   }
-  nlohmann::json text({{"seq", list.seq}, {"whole", list.whole}, {"hosts", std::move(endpoints)}});
+  nlohmann::json text({{"seq", list.seq}, {"whole", list.complete}, {"hosts", std::move(endpoints)}});
   if (list.as_of_monotonic_ms) text["as_of_monotonic_ms"] = *list.as_of_monotonic_ms;
   return text.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-HostList read_host_list(const nlohmann::json& object) {
+EndpointList parse_endpoint_list(const nlohmann::json& object) {
   try {
-    HostList list;
+    EndpointList list;
     list.seq = object.at("seq").get<std::int64_t>();
-    list.whole = object.at("whole").get<bool>();
+    list.complete = object.at("whole").get<bool>();
     if (object.contains("as_of_monotonic_ms"))
       list.as_of_monotonic_ms = object["as_of_monotonic_ms"].get<double>();
-    for (const nlohmann::json& endpoint : object.at("hosts")) list.hosts.push_back(decode_endpoint(endpoint));
+    for (const nlohmann::json& endpoint : object.at("hosts"))
+      list.endpoints.push_back(decode_endpoint(endpoint));
     return list;
   } catch (const EndpointFieldError& error) {
     throw std::runtime_error(std::string("endpoint list: ") + error.what());
--- a/src/core/host_list.hpp
+++ b/src/core/host_list.hpp
@@ -15,23 +15,21 @@
 
 // By the protocol, an update of service discovery is binding so long after discovery had it and could be
 // reached, whether it arrived or not.
-inline constexpr double kToldWithinMs = 6'000;
-
-using Host = Endpoint;  // former name, still used by the discovery client
+inline constexpr double kUpdateBindsAfterMs = 6'000;
 
 // An endpoint list, or the changes of one.
-struct HostList {
-  std::int64_t seq = 0;  // sequence number at discovery
-  bool whole = false;    // all endpoints; else only those that have changed
-  std::vector<Endpoint> hosts;
+struct EndpointList {
+  std::int64_t seq = 0;   // sequence number at discovery
+  bool complete = false;  // all endpoints; else only those that have changed
+  std::vector<Endpoint> endpoints;
   // Only between sibling processes: the last time at which it was certain that discovery had no newer list,
   // in ms of the machine's monotonic clock.
   std::optional<double> as_of_monotonic_ms = {};
 };
 
 // Decodes a list. Throws std::runtime_error, with the name of the field, where the list is invalid.
-HostList read_host_list(const nlohmann::json& object);
+EndpointList parse_endpoint_list(const nlohmann::json& object);
 // Returns the list in the same format, in one line.
-std::string text_of(const HostList& list);
+std::string serialize(const EndpointList& list);
 
 }  // namespace woadtide::core
--- a/src/core/inbox.hpp
+++ b/src/core/inbox.hpp
@@ -20,14 +20,14 @@
 namespace woadtide::core {
 
 // A client sent a query. The answer goes to the reply callback.
-struct QueryArrived {
+struct QueryReceived {
   Query query;
-  std::shared_ptr<Asker> asker;
+  std::shared_ptr<ReplyCallback> reply_callback;
 };
 // A client closed its link before the answer.
-struct ClientGone {
+struct ClientDisconnected {
   std::string query;
-  std::shared_ptr<Asker> asker;  // tells it from another client that sent the same query id
+  std::shared_ptr<ReplyCallback> reply_callback;  // tells it from another client that sent the same query id
 };
 // The last byte of an execution was passed to the kernel.
 struct ExecutionSent {
@@ -45,44 +45,44 @@
 struct ExecutionEnded {
   ExecutionKey key;
   woadtide::Status status = woadtide::Status::error;
-  std::string result;       // only with Status::ok
-  bool bad_query = false;   // the worker rejected the query itself as invalid
-  bool failed = false;      // the worker reported that the execution ran and failed
-  std::string report = {};  // load report as the worker sent it: `name=value,name=value`; may be empty
+  std::string result;            // only with Status::ok
+  bool bad_query = false;        // the worker rejected the query itself as invalid
+  bool failed = false;           // the worker reported that the execution ran and failed
+  std::string load_report = {};  // load report as the worker sent it: `name=value,name=value`; may be empty
 };
 // A probe of a worker ended.
 struct ProbeEnded {
   std::string worker;
   woadtide::Status status = woadtide::Status::error;
-  std::string report = {};  // load report as the worker sent it: `name=value,name=value`
+  std::string load_report = {};  // load report as the worker sent it: `name=value,name=value`
 };
 // Service discovery sent an update of the endpoint list, or the watch on it broke off or failed.
-struct ListTold {
+struct ListUpdateReceived {
   woadtide::ListUpdate update;
 };
 // A sibling process has connected: it is sent the whole state that it has to know.
-struct KinJoined {};
+struct SiblingJoined {};
 // A sibling process sent a message.
-struct KinSaid {
-  Word word;
+struct SiblingMessageReceived {
+  SiblingMessage message;
 };
 // The number of processes of this dispatcher that accept clients, this one included.
-struct Sharers {
+struct AcceptingProcesses {
   int processes = 1;
 };
 // An operator's command on the management address.
-struct OperatorCall {
+struct OperatorCommand {
   enum class Kind { exclude, include, telemetry, figures };
   Kind kind = Kind::exclude;
   std::string worker = {};
-  std::promise<std::string> answer;  // set once the command is in effect: whole lines
+  std::promise<std::string> reply;  // set once the command is in effect: whole lines
 };
 // The process is about to exit: all open queries are answered now, as failed.
-struct FinishAll {};
+struct FailOpenQueries {};
 
-using Message =
-    std::variant<QueryArrived, ClientGone, ExecutionSent, ExecutionStarted, ExecutionProgress, ExecutionEnded,
-                 ProbeEnded, ListTold, KinJoined, KinSaid, Sharers, OperatorCall, FinishAll>;
+using Message = std::variant<QueryReceived, ClientDisconnected, ExecutionSent, ExecutionStarted,
+                             ExecutionProgress, ExecutionEnded, ProbeEnded, ListUpdateReceived, SiblingJoined,
+                             SiblingMessageReceived, AcceptingProcesses, OperatorCommand, FailOpenQueries>;
 
 // Thread-safe queue of messages for the decision loop.
 class Inbox {
@@ -93,42 +93,42 @@
   // Sets the function that is called, on the thread that adds a message, when the queue has to be emptied. A
   // consumer that ends before the producers sets an empty function: the former one is not called after the
   // return. Must not be called from within that function.
-  void set_owner(std::function<void()> notifier) {
+  void set_notifier(std::function<void()> notifier) {
     const std::unique_lock lock(notifier_mutex_);
     notifier_ = std::move(notifier);
   }
 
   // Whether the consumer is notified of the message, or finds it along with the next one that it is notified
   // of.
-  enum class Call { now, with_next };
+  enum class Notify { now, with_next };
 
   // Adds a message. Each link has at most one query and one ending queued, so the number of links bounds the
   // queue.
-  void put(Message message, Call notify = Call::now) {
+  void push(Message message, Notify notify = Notify::now) {
     {
       const std::lock_guard lock(mutex_);
       messages_.push_back(std::move(message));
     }
-    if (notify == Call::now) notify_consumer();
+    if (notify == Notify::now) notify_consumer();
   }
   // Adds a message that may get lost: it is dropped where the queue is so long that a peer must be flooding
   // this process.
-  void put_hint(Message message, Call notify = Call::now) {
+  void push_hint(Message message, Notify notify = Notify::now) {
     {
       const std::lock_guard lock(mutex_);
       if (messages_.size() >= kMaxMessagesForHints) return;
       messages_.push_back(std::move(message));
     }
-    if (notify == Call::now) notify_consumer();
+    if (notify == Notify::now) notify_consumer();
   }
   // Removes and returns all messages, oldest first.
-  std::deque<Message> take() {
+  std::deque<Message> take_all() {
     const std::lock_guard lock(mutex_);
     return std::exchange(messages_, {});
   }
   // For a consumer without a notifier that waits for nothing else: blocks until a message is there, for `ms`
   // milliseconds at most.
-  void wait(double ms) {
+  void wait_for_message(double ms) {
     std::unique_lock lock(mutex_);
     message_added_.wait_for(lock, std::chrono::duration<double, std::milli>(ms),
                             [this] { return !messages_.empty(); });
--- a/src/core/kin.hpp
+++ b/src/core/kin.hpp
@@ -8,10 +8,10 @@
 
 // Version of the protocol between sibling processes. Processes whose versions differ by one are compatible: a
 // message of an unknown kind is ignored. Version 1 did not send its version.
-constexpr int kKinVersion = 2;
+constexpr int kSiblingProtocolVersion = 2;
 
 // A message between sibling processes.
-struct Word {
+struct SiblingMessage {
   // The value is the index of the kind's name on the wire.
   enum class Kind {
     exclude,  // an operator excluded this worker
@@ -25,17 +25,17 @@
     list,
   };
   Kind kind = Kind::told;
-  std::string id = {};  // worker, query id or list, depending on the kind
+  std::string content = {};  // worker, query id or list, depending on the kind
 };
 
 // Connection to the sibling processes.
-class Kin {
+class SiblingProcess {
  public:
-  virtual ~Kin() = default;
+  virtual ~SiblingProcess() = default;
   // Sends a message to all sibling processes. Must not block.
-  virtual void tell(const Word& message) = 0;
+  virtual void send(const SiblingMessage& message) = 0;
   // Returns whether there is no sibling process.
-  virtual bool alone() const = 0;
+  virtual bool has_no_sibling() const = 0;
 };
 
 }  // namespace woadtide::core
--- a/src/core/load_report.cpp
+++ b/src/core/load_report.cpp
@@ -12,8 +12,8 @@
 constexpr double kMaxValue = 1e9;
 }
 
-std::optional<woadtide::LoadReport> read_load_report(std::string_view text, const std::string& x0,
-                                                     const std::string& x1) {
+std::optional<woadtide::LoadReport> parse_load_report(std::string_view text, const std::string& x0,
+                                                      const std::string& x1) {
   nlohmann::json pairs = nlohmann::json::object();
   while (!text.empty()) {
     const std::string_view pair = text.substr(0, text.find(','));
@@ -26,7 +26,7 @@
     if (error != std::errc{} || end != last || !(value >= 0 && value <= kMaxValue)) return std::nullopt;
     pairs[std::string(pair.substr(0, equals))] = value;
   }
-  return woadtide::wire::read_report(pairs, x0, x1);
+  return woadtide::wire::read_load_report(pairs, x0, x1);
 }
 
 }  // namespace woadtide::core
--- a/src/core/log.hpp
+++ b/src/core/log.hpp
@@ -14,10 +14,10 @@
 void set_log_sink(LogSink sink);
 
 // Rate limit for log lines that could come by the hundred: one in five seconds. Not thread-safe.
-class Seldom {
+class LogRateLimit {
  public:
   // Returns whether a line may be written at `now` (ms), and if so, counts it.
-  bool due(double now) {
+  bool allow(double now) {
     if (now < next_allowed_) return false;
     next_allowed_ = now + 5'000;
     return true;
--- a/src/core/query.hpp
+++ b/src/core/query.hpp
@@ -15,10 +15,10 @@
 namespace woadtide::core {
 
 // Payload for a worker, as the client sent it. Opaque to the loop.
-struct Parcel {
-  std::shared_ptr<const void> hold;         // owns the bytes that the views refer to
-  std::string_view method, target, fields;  // fields: the HTTP header fields
-  std::vector<std::string_view> body;       // in fragments
+struct Payload {
+  std::shared_ptr<const void> owner;               // owns the bytes that the views refer to
+  std::string_view method, target, header_fields;  // fields: the HTTP header fields
+  std::vector<std::string_view> body;              // in fragments
 };
 
 // A client's request.
@@ -28,7 +28,7 @@
   double slots = 1;               // capacity that it occupies at a worker
   std::optional<double> cost_ms;  // the client's estimate of the running time
   double deadline = 0;            // when the client gives up: ms of the Clock
-  Parcel parcel;
+  Payload payload;
 };
 
 // How a query was answered.
@@ -42,11 +42,11 @@
 };
 
 // Reply callback of a client, which has one query at a time.
-class Asker {
+class ReplyCallback {
  public:
-  virtual ~Asker() = default;
+  virtual ~ReplyCallback() = default;
   // Receives the final answer. Called once for each query, on the loop's thread. Must not block.
-  virtual void answer(Answer answer) = 0;
+  virtual void on_answer(Answer answer) = 0;
 };
 
 // Identifies one attempt to execute a query.
@@ -60,12 +60,12 @@
 struct Execution {
   ExecutionKey key;
   std::string worker;
-  Parcel parcel;
+  Payload payload;
   double deadline = 0;  // ms of the Clock, as the query has it
   // Latest time (ms of the Clock) at which the first byte may be sent. Where it has not been sent by then,
   // the execution ends as not started.
-  double not_after = kAlways;
-  static constexpr double kAlways = 1e18;
+  double not_after = kNoTimeLimit;
+  static constexpr double kNoTimeLimit = 1e18;
 };
 
 // Carries out executions and reports the ending of each, exactly once, to the Inbox. Its functions must not
@@ -84,33 +84,33 @@
   virtual void probe(const std::string& worker) = 0;
   // Excludes the worker from new executions, including those that are already on their way to it, or includes
   // it again.
-  virtual void exclude(const std::string& worker, bool excluded) = 0;
+  virtual void set_excluded(const std::string& worker, bool excluded) = 0;
 };
 
 // Observes the course of executions. Called on the loop's thread, before the loop handles the event. Its
 // functions must not block.
-class Witness {
+class ExecutionObserver {
  public:
-  virtual ~Witness() = default;
+  virtual ~ExecutionObserver() = default;
   // The execution has started, or reported progress.
-  virtual void heard(const ExecutionKey& key) = 0;
+  virtual void on_activity(const ExecutionKey& key) = 0;
   // The execution has ended; called once. `final_report`: the worker itself reported that the execution
   // failed or that it rejects the query.
-  virtual void ended(const ExecutionKey& key, woadtide::Status status, const std::string& result,
-                     bool final_report) = 0;
+  virtual void on_ended(const ExecutionKey& key, woadtide::Status status, const std::string& result,
+                        bool final_report) = 0;
 };
 
 // Source of the endpoint list, the list of workers.
-class HostSource {
+class EndpointSource {
  public:
-  virtual ~HostSource() = default;
+  virtual ~EndpointSource() = default;
   // Opens a watch on the list. Its updates, and its failure, are sent to the Inbox. Must not block.
-  virtual void watch() = 0;
+  virtual void start_watch() = 0;
   // Returns the current list, serialised for a sibling process. Must not block.
-  virtual std::string list() const = 0;
+  virtual std::string serialized_list() const = 0;
   // Takes over a list that a sibling process sent, where it is newer than all that this process received.
   // Must not block.
-  virtual void hear_list(const std::string& text) = 0;
+  virtual void merge_sibling_list(const std::string& text) = 0;
 };
 
 }  // namespace woadtide::core
--- a/src/endpoints/list_reader.cpp
+++ b/src/endpoints/list_reader.cpp
@@ -228,7 +228,7 @@
 void EndpointListReader::end_snapshot_flag() {
   const std::optional<json> value = parse(token_text_);
   if (!value || !value->is_boolean()) return fail_field(kSnapshotField, "must be true or false");
-  update_.whole = value->get<bool>();
+  update_.is_snapshot = value->get<bool>();
   state_ = State::after_value;
 }
 
--- a/src/endpoints/table.cpp
+++ b/src/endpoints/table.cpp
@@ -16,10 +16,10 @@
     Endpoint& endpoint = entries.front();
     if (endpoint.entry.state != WorkerState::gone)
       insert_or_update(std::move(endpoint), delta);
-    else if (!update.whole)
+    else if (!update.is_snapshot)
       remove(endpoint.name(), delta);
   }
-  if (update.whole) remove_unnamed(delta);
+  if (update.is_snapshot) remove_unnamed(delta);
   return delta;
 }
 
--- a/src/endpoints/table.hpp
+++ b/src/endpoints/table.hpp
@@ -19,7 +19,7 @@
 // An endpoint that changed. The pointer is into the table, and valid until its next apply().
 struct EndpointChange {
   Endpoint before;
-  const Endpoint* now;
+  const Endpoint* after;
 };
 // Differences made by an update. The pointers are into the table, and valid until its next apply().
 struct EndpointDelta {
--- a/src/endpoints/update.hpp
+++ b/src/endpoints/update.hpp
@@ -17,7 +17,7 @@
 // `whole`: a snapshot instead of a delta.
 struct EndpointUpdate {
   std::int64_t sequence = 0;
-  bool whole = false;
+  bool is_snapshot = false;
   EndpointSequence endpoints;  // names are unique; state `gone` is only meaningful in a delta
 };
 
--- a/src/front/http/front.cpp
+++ b/src/front/http/front.cpp
@@ -24,14 +24,14 @@
 
 // The reply callback and pending request of one query: passes the decision loop's answer to the client link,
 // and a disconnect of the client to the decision loop.
-class QueryRequest : public core::Asker,
-                     public net::Errand,
+class QueryRequest : public core::ReplyCallback,
+                     public net::PendingRequest,
                      public std::enable_shared_from_this<QueryRequest> {
  public:
   QueryRequest(std::shared_ptr<net::ClientLink> link, core::Inbox& inbox, std::string id, bool closes)
       : link_(std::move(link)), inbox_(inbox), id_(std::move(id)), closes_(closes) {}
 
-  void answer(core::Answer answer) override {
+  void on_answer(core::Answer answer) override {
     switch (answer.kind) {
       case AnswerKind::served:
         return link_->reply(200, "Content-Type: application/octet-stream\r\n", answer.body, closes_, true);
@@ -50,7 +50,7 @@
         return link_->reply(400, "Content-Type: text/plain\r\n", answer.body + '\n', true, true);
     }
   }
-  void gone() override { inbox_.put(core::ClientGone{id_, shared_from_this()}); }
+  void on_client_disconnected() override { inbox_.push(core::ClientDisconnected{id_, shared_from_this()}); }
 
  private:
   const std::shared_ptr<net::ClientLink> link_;
@@ -61,30 +61,31 @@
 
 }  // namespace
 
-std::shared_ptr<net::Errand> Front::take(const std::shared_ptr<net::ClientLink>& link, net::Message message) {
-  const net::Head& head = message.head;
+std::shared_ptr<net::PendingRequest> HttpFrontend::handle_message(
+    const std::shared_ptr<net::ClientLink>& link, net::IncomingMessage message) {
+  const net::MessageHead& head = message.head;
   const std::string_view path = head.target.substr(0, head.target.find('?'));
   const bool is_readiness_check = path == "/health/ready", is_liveness_check = path == "/health/live";
   if (head.method == "GET" && (is_readiness_check || is_liveness_check)) {
-    const bool healthy = is_liveness_check || ready;
-    link->reply(healthy ? 200 : 503, {}, healthy ? "ready\n" : "not ready\n", message.closes, false);
+    const bool healthy = is_liveness_check || reports_ready;
+    link->reply(healthy ? 200 : 503, {}, healthy ? "ready\n" : "not ready\n", message.closes_link, false);
     return nullptr;
   }
   if (head.method != "POST")
     throw BadMessage(is_readiness_check || is_liveness_check ? 405 : 404, "no such resource");
   core::Query query;
-  net::read_figures(head, query, message.received);
+  net::parse_query_fields(head, query, message.received_at);
   const auto id = head.find("X-Call-Id");
   if (!id || id->size() > kMaxIdBytes || !net::is_token(*id))
     throw BadMessage(400, "X-Call-Id is missing or malformed");
   query.id = *id;
-  const auto storage = std::make_shared<PayloadStorage>(PayloadStorage{std::move(message.hold), {}});
-  for (const net::Field& field : head.fields)
-    if (net::is_passed_on(field.name) && !head.connection_names(field.name))
+  const auto storage = std::make_shared<PayloadStorage>(PayloadStorage{std::move(message.storage), {}});
+  for (const net::HeaderField& field : head.fields)
+    if (net::is_forwarded_field(field.name) && !head.connection_lists(field.name))
       storage->fields.append(field.name).append(": ").append(field.value).append("\r\n");
-  query.parcel = {storage, head.method, head.target, storage->fields, std::move(message.body)};
-  auto request = std::make_shared<QueryRequest>(link, inbox_, query.id, message.closes);
-  inbox_.put(core::QueryArrived{std::move(query), request});
+  query.payload = {storage, head.method, head.target, storage->fields, std::move(message.body)};
+  auto request = std::make_shared<QueryRequest>(link, inbox_, query.id, message.closes_link);
+  inbox_.push(core::QueryReceived{std::move(query), request});
   return request;
 }
 
--- a/src/front/http/front.hpp
+++ b/src/front/http/front.hpp
@@ -12,15 +12,15 @@
 namespace woadtide::front::http {
 
 // Also answers the health checks GET /health/ready and GET /health/live.
-class Front : public net::Front {
+class HttpFrontend : public net::Frontend {
  public:
   // Queries, and the news that their client has gone, are put into `inbox`, which must outlive the frontend.
-  explicit Front(core::Inbox& inbox) : inbox_(inbox) {}
+  explicit HttpFrontend(core::Inbox& inbox) : inbox_(inbox) {}
 
-  std::shared_ptr<net::Errand> take(const std::shared_ptr<net::ClientLink>& link,
-                                    net::Message message) override;
+  std::shared_ptr<net::PendingRequest> handle_message(const std::shared_ptr<net::ClientLink>& link,
+                                                      net::IncomingMessage message) override;
 
-  std::atomic<bool> ready{false};  // /health/ready answers 200 if set, else 503
+  std::atomic<bool> reports_ready{false};  // /health/ready answers 200 if set, else 503
 
  private:
   core::Inbox& inbox_;
--- a/src/front/jobs/front.cpp
+++ b/src/front/jobs/front.cpp
@@ -50,16 +50,16 @@
 }
 
 // A client that disconnects does not affect its job: the result can be requested again by key.
-class PendingJobCall : public net::Errand {
+class PendingJobCall : public net::PendingRequest {
  public:
-  void gone() override {}
+  void on_client_disconnected() override {}
 };
 
 }  // namespace
 
 JobsFrontend::JobsFrontend(net::Socket listener, std::size_t max_links, bool serves_operators,
                            woadtide::jobs::DurableJobService& job_service, core::Clock& clock,
-                           park::Park& event_loop, park::Crew& thread_pool)
+                           park::EventLoop& event_loop, park::ThreadPool& thread_pool)
     : serves_operators_(serves_operators),
       job_service_(job_service),
       clock_(clock),
@@ -67,9 +67,9 @@
       buffer_pool_(max_links),
       link_context_{.clock = clock,
                     .pool = buffer_pool_,
-                    .park = event_loop,
-                    .front = *this,
-                    .first_ms = kReadTimeoutMs},
+                    .event_loop = event_loop,
+                    .frontend = *this,
+                    .read_timeout_ms = kReadTimeoutMs},
       client_links_(std::move(listener), max_links, link_context_) {
   client_links_.start();
 }
@@ -80,8 +80,8 @@
   call_finished_.wait(lock, [this] { return calls_in_progress_ == 0; });
 }
 
-std::shared_ptr<net::Errand> JobsFrontend::take(const std::shared_ptr<net::ClientLink>& link,
-                                                net::Message message) {
+std::shared_ptr<net::PendingRequest> JobsFrontend::handle_message(
+    const std::shared_ptr<net::ClientLink>& link, net::IncomingMessage message) {
   const auto call = std::make_shared<Call>(parse_call(message));
   if (call->path == "/health/ready" && call->method == "GET") {
     send_reply(*link,
@@ -100,7 +100,7 @@
     const std::lock_guard lock(mutex_);
     calls_in_progress_ += 1;
   }
-  if (thread_pool_.take(run_call)) return std::make_shared<PendingJobCall>();
+  if (thread_pool_.try_submit(run_call)) return std::make_shared<PendingJobCall>();
   {
     const std::lock_guard lock(mutex_);
     calls_in_progress_ -= 1;
@@ -109,20 +109,21 @@
   return nullptr;
 }
 
-JobsFrontend::Call JobsFrontend::parse_call(const net::Message& message) const {
-  const net::Head& head = message.head;
+JobsFrontend::Call JobsFrontend::parse_call(const net::IncomingMessage& message) const {
+  const net::MessageHead& head = message.head;
   Call call;
-  call.closes_link = message.closes;
+  call.closes_link = message.closes_link;
   call.method = head.method;
   call.path = head.target.substr(0, head.target.find('?'));
   if (call.path.size() < head.target.size()) call.parameters = head.target.substr(call.path.size() + 1);
   if (head.target.size() > kMaxPathBytes) throw BadMessage(400, "the path is too long");
   if (call.method == "PUT") {
-    net::read_figures(head, call.job_request.query, message.received);
+    net::parse_query_fields(head, call.job_request.query, message.received_at);
     // The job service sets X-Call-Id and X-Job-* itself, so those of the client are dropped.
-    for (const net::Field& field : head.fields)
-      if (net::is_passed_on(field.name) && !head.connection_names(field.name) &&
-          !net::same_name(field.name, "X-Call-Id") && !net::same_name(field.name.substr(0, 6), "X-Job-"))
+    for (const net::HeaderField& field : head.fields)
+      if (net::is_forwarded_field(field.name) && !head.connection_lists(field.name) &&
+          !net::equals_ignore_case(field.name, "X-Call-Id") &&
+          !net::equals_ignore_case(field.name.substr(0, 6), "X-Job-"))
         call.job_request.header_fields.append(field.name).append(": ").append(field.value).append("\r\n");
   }
   for (const std::string_view piece : message.body) call.body += piece;
@@ -142,7 +143,7 @@
                              : error_reply(404, "no such resource");
   if (call.method == "GET") {
     const std::string wait = find_parameter(call.parameters, "wait");
-    const auto wait_ms = net::whole_number(wait.empty() ? "0" : wait);
+    const auto wait_ms = net::parse_unsigned(wait.empty() ? "0" : wait);
     if (!wait_ms) return error_reply(400, "wait is a number of milliseconds");
     return job_service_.get(key, std::min(static_cast<double>(*wait_ms), kMaxWaitMs));
   }
--- a/src/front/jobs/front.hpp
+++ b/src/front/jobs/front.hpp
@@ -26,13 +26,13 @@
 
 // Client links are served by the event loop; a call to the job service blocks a thread of the pool until it
 // is answered.
-class JobsFrontend : private net::Front {
+class JobsFrontend : private net::Frontend {
  public:
   // Serves at most `max_links` client links at once. `serves_operators`: whether operators' calls are
   // answered here.
   JobsFrontend(net::Socket listener, std::size_t max_links, bool serves_operators,
-               woadtide::jobs::DurableJobService& job_service, core::Clock& clock, park::Park& event_loop,
-               park::Crew& thread_pool);
+               woadtide::jobs::DurableJobService& job_service, core::Clock& clock,
+               park::EventLoop& event_loop, park::ThreadPool& thread_pool);
   // Stops listening and waits for the calls that are still in progress.
   ~JobsFrontend() override;
 
@@ -46,9 +46,9 @@
     woadtide::jobs::JobRequest job_request;  // of a PUT: query and header fields as received
     bool closes_link = false;
   };
-  std::shared_ptr<net::Errand> take(const std::shared_ptr<net::ClientLink>& link,
-                                    net::Message message) override;
-  Call parse_call(const net::Message& message) const;
+  std::shared_ptr<net::PendingRequest> handle_message(const std::shared_ptr<net::ClientLink>& link,
+                                                      net::IncomingMessage message) override;
+  Call parse_call(const net::IncomingMessage& message) const;
   woadtide::jobs::Reply handle_call(Call& call);
   woadtide::jobs::Reply handle_operator_call(const Call& call, const std::string& key,
                                              const std::string& subresource);
@@ -56,9 +56,9 @@
   const bool serves_operators_;
   woadtide::jobs::DurableJobService& job_service_;
   core::Clock& clock_;
-  park::Crew& thread_pool_;
+  park::ThreadPool& thread_pool_;
   net::BufferPool buffer_pool_;
-  net::ClientSide link_context_;
+  net::ClientLinkContext link_context_;
   std::mutex mutex_;
   std::condition_variable call_finished_;
   std::size_t calls_in_progress_ = 0;  // submitted to the thread pool
--- a/src/jobs/installation.hpp
+++ b/src/jobs/installation.hpp
@@ -14,43 +14,44 @@
 namespace woadtide::jobs {
 
 // Throws std::invalid_argument if one of the configured addresses is invalid.
-void check_addresses(const config::JobsPart& config);
+void validate_addresses(const config::JobsSettings& config);
 
 // The number of file descriptors that the extension needs, to be deducted from the budget of the node.
-std::size_t descriptors(const config::JobsPart& config);
+std::size_t required_descriptors(const config::JobsSettings& config);
 
 // Runs the job service and opens its listeners while this process holds the store.
-class Installation : public Addition, private WorkerInquirer {
+class JobsExtension : public NodeExtension, private WorkerInquirer {
  public:
   // `adjust_settings`: for measurements, changes settings that the operator's file does not offer.
-  Installation(const config::JobsPart& config, const Parts& context,
-               const std::function<void(Settings&)>& adjust_settings = {});
-  ~Installation() override;
+  JobsExtension(const config::JobsSettings& config, const ExtensionContext& context,
+                const std::function<void(Settings&)>& adjust_settings = {});
+  ~JobsExtension() override;
 
   core::Executor& executor() override { return job_service_; }
-  core::Witness* witness() override { return &job_service_; }
+  core::ExecutionObserver* observer() override { return &job_service_; }
   void open() override;
-  void set_taking(bool accepting) override { job_service_.set_accepting_jobs(accepting); }
-  std::size_t busy() override { return job_service_.active_executions(); }
+  void set_accepting_clients(bool accepting) override { job_service_.set_accepting_jobs(accepting); }
+  std::size_t active_executions() override { return job_service_.active_executions(); }
   void close() override;
 
   // The ports for clients and for operators, 0 while the listeners are not open.
   int port() const { return port_; }
-  int operators_port() const { return operators_port_; }
+  int operator_port() const { return operators_port_; }
 
  private:
   void inquire(const std::string& worker, const std::string& key, std::uint64_t epoch) override;
   std::string worker_kind(const std::string& worker) const override;
-  void handle_answer(const net::WorkerAsks::Question& question, const net::WorkerAsks::Answer& answer);
+  void handle_answer(const net::JobStatusClient::Question& question,
+                     const net::JobStatusClient::Answer& answer);
   void open_listeners();
 
-  const config::JobsPart config_;
+  const config::JobsSettings config_;
   core::Clock& clock_;
-  const net::HostGroup& endpoint_client_;
-  park::Park& event_loop_;
+  const net::EndpointListClient& endpoint_client_;
+  park::EventLoop& event_loop_;
   DurableJobService job_service_;
-  net::WorkerAsks job_status_client_;
-  park::Crew thread_pool_;  // for calls that block until the job service answers
+  net::JobStatusClient job_status_client_;
+  park::ThreadPool thread_pool_;  // for calls that block until the job service answers
   std::atomic<bool> closing_{false};
   std::atomic<int> port_{0}, operators_port_{0};
   // Opened by the listener thread once the job service holds the store: the process that holds it has the
--- a/src/jobs/keeper.cpp
+++ b/src/jobs/keeper.cpp
@@ -63,11 +63,11 @@
 };
 
 // Passes the answer of the decision loop to one query of a job on to the service.
-class DurableJobService::JobReplyCallback : public core::Asker {
+class DurableJobService::JobReplyCallback : public core::ReplyCallback {
  public:
   JobReplyCallback(DurableJobService& service, std::string query_id)
       : service_(service), query_id_(std::move(query_id)) {}
-  void answer(core::Answer answer) override {
+  void on_answer(core::Answer answer) override {
     service_.enqueue_message(QueryAnswered{query_id_, std::move(answer)});
   }
 
@@ -88,8 +88,9 @@
       query_id_nonce_(make_query_id_nonce()),
       lease_table_(settings_.lease) {
   for (std::size_t i = 0; i < class_names.size() && i < classes.classes.size(); ++i)
-    repeat_policies_[class_names[i]] =
-        classes.classes[i].effect == woadtide::Effect::safe ? lease::Repeat::safe : lease::Repeat::once;
+    repeat_policies_[class_names[i]] = classes.classes[i].effect == woadtide::Effect::safe
+                                           ? lease::RepeatPolicy::idempotent
+                                           : lease::RepeatPolicy::at_most_once;
 }
 
 DurableJobService::~DurableJobService() = default;
@@ -179,12 +180,12 @@
   enqueue_message(CancelRequested{key});  // queued, so that it stays behind its start
 }
 
-void DurableJobService::heard(const core::ExecutionKey& key) {
+void DurableJobService::on_activity(const core::ExecutionKey& key) {
   if (is_job(key)) enqueue_message(ActivityReported{key});
 }
 
-void DurableJobService::ended(const core::ExecutionKey& key, Status status, const std::string& result,
-                              bool reported_by_worker) {
+void DurableJobService::on_ended(const core::ExecutionKey& key, Status status, const std::string& result,
+                                 bool reported_by_worker) {
   if (is_job(key)) enqueue_message(EndReported{key, status, result, reported_by_worker});
 }
 
@@ -226,7 +227,7 @@
       if (auto* call = std::get_if<Call>(&message))
         call->reply.set_value({503, {}, "jobs are not served now\n", kReopenRetryMs});
       else if (auto* start = std::get_if<StartRequested>(&message))
-        inbox_.put(core::ExecutionEnded{start->execution.key, Status::moot, {}, false, false});
+        inbox_.push(core::ExecutionEnded{start->execution.key, Status::not_started, {}, false, false});
       else
         deferred.push_back(std::move(message));
     }
@@ -247,7 +248,7 @@
 
 void DurableJobService::open_store() {
   store_.emplace(settings_.store);
-  store_time_offset_ms_ = std::max(0.0, store_->newest() - clock_.now());
+  store_time_offset_ms_ = std::max(0.0, store_->newest_change() - clock_.now());
   if (store_time_offset_ms_ > 1'000)
     core::log_line("jobs: the clock is " +
                    std::to_string(static_cast<long long>(store_time_offset_ms_ / 1'000)) +
@@ -260,7 +261,7 @@
 void DurableJobService::recover() {
   std::size_t count = 0;
   std::map<std::string, OpenJob> previous = std::exchange(open_jobs_, {});
-  store_->read(store::Standing::open, [&](const store::Record& record) {
+  store_->for_each(store::RecordState::open, [&](const store::Record& record) {
     auto [job, attributes] = parse_meta(record);
     OpenJob& open_job = open_jobs_[job.key];
     open_job.attributes = std::move(attributes);
@@ -350,7 +351,7 @@
     cancel_pending_start(open_job);
     if (!open_job.active_execution) retract_from_loop(open_job);
   }
-  lease_table_ = lease::Table(settings_.lease);
+  lease_table_ = lease::LeaseTable(settings_.lease);
   effects_.clear();
   unwritten_keys_.clear();
   backlog_.clear();
@@ -359,12 +360,12 @@
 }
 
 void DurableJobService::process_messages() {
-  while (!unhandled_messages_.empty() && uncommitted_messages_.size() < settings_.most_group) {
+  while (!unhandled_messages_.empty() && uncommitted_messages_.size() < settings_.max_messages_per_commit) {
     uncommitted_messages_.push_back(std::move(unhandled_messages_.front()));
     unhandled_messages_.pop_front();
     std::visit([this](auto& message) { handle(message); }, uncommitted_messages_.back());
   }
-  if (const auto due = lease_table_.next_due(); due && *due <= store_time()) apply_event(lease::Tick{});
+  if (const auto due = lease_table_.next_due(); due && *due <= store_time()) apply_event(lease::TimePassed{});
   time_out_waiters();
   const bool lazy_write_due =
       !unwritten_keys_.empty() && clock_.now() - lazy_write_since_ms_ >= kMaxLazyWriteDelayMs;
@@ -379,7 +380,7 @@
   const std::size_t first_new = effects_.size();
   lease_table_.handle(store_time(), event, effects_);
   for (std::size_t i = first_new; i < effects_.size(); ++i) {
-    const auto* write = std::get_if<lease::Write>(&effects_[i]);
+    const auto* write = std::get_if<lease::WriteRecord>(&effects_[i]);
     if (!write) continue;
     if (unwritten_keys_.empty()) lazy_write_since_ms_ = clock_.now();
     unwritten_keys_.insert(write->key);
@@ -428,20 +429,20 @@
       }
       if (job && lease::is_final(job->state))
         return answer(make_reply(*job, open_jobs_.at(call.key).attributes, open_jobs_.at(call.key).result));
-      if (job) return answer({202, lease::name_of(job->state), {}, 0});
+      if (job) return answer({202, lease::state_name(job->state), {}, 0});
       const auto stored = store_->find(call.key);
       return answer(stored ? make_stored_reply(*stored) : Reply{404, {}, "no such job\n", 0});
     }
     case Call::Kind::withdraw: {
       if (job && job->state == State::taken) {
-        apply_event(lease::Withdraw{call.key});
+        apply_event(lease::Withdrawn{call.key});
         return answer({200, "refused", "withdrawn\n", 0});
       }
       if (job || store_->find(call.key)) return answer({409, {}, "it has begun or is over\n", 0});
       return answer({404, {}, "no such job\n", 0});
     }
     case Call::Kind::list: {
-      const auto wanted = lease::state_of(call.state);
+      const auto wanted = lease::state_from_name(call.state);
       if (!call.state.empty() && !wanted) return answer({400, {}, "no such state\n", 0});
       std::string text;
       std::size_t count = 0;
@@ -453,10 +454,10 @@
       for (const auto& [key, open_job] : open_jobs_)
         if (const Job* listed = lease_table_.find(key); listed && !append_line(*listed, open_job.attributes))
           break;
-      for (const auto standing : {store::Standing::retained, store::Standing::closed}) {
-        if (standing == store::Standing::closed && !wanted) break;
+      for (const auto standing : {store::RecordState::retained, store::RecordState::closed}) {
+        if (standing == store::RecordState::closed && !wanted) break;
         if (count >= kMaxListedJobs) break;
-        store_->read(standing, [&](const store::Record& record) {
+        store_->for_each(standing, [&](const store::Record& record) {
           const auto [listed, attributes] = parse_meta(record);
           return append_line(listed, attributes);
         });
@@ -476,13 +477,13 @@
         if (lease::settle(settled, store_time(), call.as_finished, call.who, call.reason)) {
           store_->append({{call.key,
                            serialize_meta(settled, attributes),
-                           store::Standing::closed,
-                           settled.changed,
+                           store::RecordState::closed,
+                           settled.changed_at,
                            {},
                            {}}});
-          core::log_line("jobs: " + call.key + " was " + settled.why + "; now " +
-                         lease::name_of(settled.state));
-          return answer({200, lease::name_of(settled.state), "settled\n", 0});
+          core::log_line("jobs: " + call.key + " was " + settled.reason + "; now " +
+                         lease::state_name(settled.state));
+          return answer({200, lease::state_name(settled.state), "settled\n", 0});
         }
       }
       return answer({409, {}, "only a job in doubt can be settled\n", 0});
@@ -500,7 +501,7 @@
     OpenJob& open_job = open_jobs_.at(call.key);
     if (open_job.attributes.digest != digest) return answer({409, {}, "this key has another job\n", 0});
     if (lease::is_final(job->state)) return answer(make_reply(*job, open_job.attributes, open_job.result));
-    if (open_job.acknowledged) return answer({202, lease::name_of(job->state), {}, 0});
+    if (open_job.acknowledged) return answer({202, lease::state_name(job->state), {}, 0});
     open_job.submitters.push_back(std::move(call.reply));
     return;
   }
@@ -520,7 +521,7 @@
   // Space for the results of all open jobs is reserved.
   const std::uint64_t reserved_bytes =
       (lease_table_.size() + 1) * (kReservedRecordBytes + kReservedResultBytes);
-  if (store_bytes_used_ + request.body.size() + reserved_bytes > settings_.store.most_bytes)
+  if (store_bytes_used_ + request.body.size() + reserved_bytes > settings_.store.max_bytes)
     return refuse("the store is full\n");
   const double remaining_ms = request.query.deadline - clock_.now();
   const double deadline = store_time() + remaining_ms -
@@ -532,7 +533,7 @@
   open_job.content = std::make_shared<JobContent>(
       JobContent{request.target, request.header_fields, std::move(request.body)});
   open_job.submitters.push_back(std::move(call.reply));
-  apply_event(lease::Take{call.key, *repeat_policy, deadline, epoch});
+  apply_event(lease::Submitted{call.key, *repeat_policy, deadline, epoch});
 }
 
 // --- From the decision loop and the server links ---
@@ -548,7 +549,7 @@
   message.handled = true;
   OpenJob* open_job = find_open_job(message.execution.key);
   const auto report_not_started = [&] {
-    inbox_.put(core::ExecutionEnded{message.execution.key, Status::moot, {}, false, false});
+    inbox_.push(core::ExecutionEnded{message.execution.key, Status::not_started, {}, false, false});
   };
   if (!open_job) return report_not_started();
   cancel_pending_start(*open_job);
@@ -559,7 +560,7 @@
   const std::string key = key_by_query_id_.at(message.execution.key.query);
   open_job->pending_start = std::move(message.execution);
   apply_event(
-      lease::Chosen{key, worker, ledger == ledger_by_worker_.end() ? "" : ledger->second, can_answer});
+      lease::WorkerChosen{key, worker, ledger == ledger_by_worker_.end() ? "" : ledger->second, can_answer});
 }
 
 void DurableJobService::handle(CancelRequested& message) {
@@ -572,7 +573,7 @@
 
 void DurableJobService::handle(ActivityReported& message) {
   if (OpenJob* open_job = find_open_job(message.key); open_job && open_job->active_execution == message.key)
-    apply_event(lease::Heard{key_by_query_id_.at(message.key.query), open_job->active_epoch});
+    apply_event(lease::HeartbeatReceived{key_by_query_id_.at(message.key.query), open_job->active_epoch});
 }
 
 void DurableJobService::handle(EndReported& message) {
@@ -580,13 +581,14 @@
   if (!open_job || open_job->active_execution != message.key) return;
   open_job->active_execution.reset();
   active_count_ -= 1;
-  const lease::End outcome = message.status == Status::ok               ? lease::End::done
-                             : woadtide::proves_not_run(message.status) ? lease::End::not_run
-                             : message.reported_by_worker               ? lease::End::failed
-                                                                        : lease::End::unknown;
+  const lease::ExecutionOutcome outcome = message.status == Status::ok ? lease::ExecutionOutcome::done
+                                          : woadtide::proves_not_run(message.status)
+                                              ? lease::ExecutionOutcome::not_started
+                                          : message.reported_by_worker ? lease::ExecutionOutcome::failed
+                                                                       : lease::ExecutionOutcome::unknown;
   const std::string key = key_by_query_id_.at(message.key.query);
-  if (outcome == lease::End::done) open_job->result = message.result;
-  apply_event(lease::Ended{key, open_job->active_epoch, outcome});
+  if (outcome == lease::ExecutionOutcome::done) open_job->result = message.result;
+  apply_event(lease::LeasedExecutionEnded{key, open_job->active_epoch, outcome});
 }
 
 void DurableJobService::handle(QueryAnswered& message) {
@@ -612,7 +614,7 @@
     backlog_.emplace(store_time() + resubmit_delay_ms, key);
     return;
   }
-  apply_event(lease::GivenUp{key, refused});
+  apply_event(lease::AnsweredWithoutResult{key, refused});
 }
 
 void DurableJobService::handle(InquiryReply& message) {
@@ -621,9 +623,9 @@
   const auto open_job = open_jobs_.find(message.key);
   if (open_job == open_jobs_.end()) return;
   const Job* job = lease_table_.find(message.key);
-  if (job && job->epoch == message.epoch && message.answer == lease::Says::finished)
+  if (job && job->epoch == message.epoch && message.answer == lease::InquiryAnswer::finished)
     open_job->second.result = message.result;
-  apply_event(lease::Answered{message.key, message.epoch, message.answer, message.ledger});
+  apply_event(lease::InquiryAnswered{message.key, message.epoch, message.answer, message.ledger});
 }
 
 // --- Effects of the lease table ---
@@ -670,15 +672,15 @@
   query.slots = open_job.attributes.slots;
   query.cost_ms = open_job.attributes.cost_ms;
   query.deadline = job->deadline - store_time_offset_ms_;
-  query.parcel = {open_job.content,
-                  "POST",
-                  open_job.content->target,
-                  open_job.content->header_fields,
-                  {open_job.content->body}};
-  inbox_.put(core::QueryArrived{std::move(query), open_job.reply_callback});
+  query.payload = {open_job.content,
+                   "POST",
+                   open_job.content->target,
+                   open_job.content->header_fields,
+                   {open_job.content->body}};
+  inbox_.push(core::QueryReceived{std::move(query), open_job.reply_callback});
 }
 
-void DurableJobService::perform(const lease::Start& effect) {
+void DurableJobService::perform(const lease::StartExecution& effect) {
   const auto found = open_jobs_.find(effect.key);
   if (found == open_jobs_.end() || !found->second.pending_start) return;
   OpenJob& open_job = found->second;
@@ -690,13 +692,13 @@
   open_job.active_execution = execution.key;
   open_job.active_epoch = effect.epoch;
   const auto lease_fields = std::make_shared<std::pair<std::shared_ptr<const void>, std::string>>();
-  lease_fields->first = execution.parcel.hold;
+  lease_fields->first = execution.payload.owner;
   lease_fields->second =
-      std::string(execution.parcel.fields) + "X-Call-Id: " + execution.key.query +
+      std::string(execution.payload.header_fields) + "X-Call-Id: " + execution.key.query +
       "\r\nX-Job-Key: " + effect.key + "\r\nX-Job-Epoch: " + std::to_string(effect.epoch) +
       "\r\nX-Job-Lease: " + std::to_string(static_cast<long long>(settings_.lease.lease_ms)) + "m\r\n";
-  execution.parcel.fields = lease_fields->second;
-  execution.parcel.hold = lease_fields;
+  execution.payload.header_fields = lease_fields->second;
+  execution.payload.owner = lease_fields;
   next_executor_.start(std::move(execution));
   open_job.content.reset();  // it is on disk: the bodies of open jobs must not fill the memory
   if (!open_job.acknowledged) counts_.taken += 1;
@@ -705,7 +707,7 @@
   open_job.submitters.clear();
 }
 
-void DurableJobService::perform(const lease::Unsend& effect) {
+void DurableJobService::perform(const lease::CancelStart& effect) {
   if (const auto open_job = open_jobs_.find(effect.key); open_job != open_jobs_.end())
     cancel_pending_start(open_job->second);
 }
@@ -713,28 +715,29 @@
 // Nothing was sent to the worker, and the module is notified that the execution did not start.
 void DurableJobService::cancel_pending_start(OpenJob& open_job) {
   if (!open_job.pending_start) return;
-  inbox_.put(core::ExecutionEnded{open_job.pending_start->key, Status::moot, {}, false, false});
+  inbox_.push(core::ExecutionEnded{open_job.pending_start->key, Status::not_started, {}, false, false});
   open_job.pending_start.reset();
 }
 
-void DurableJobService::perform(const lease::Retract& effect) {
+void DurableJobService::perform(const lease::RetractFromModule& effect) {
   if (const auto open_job = open_jobs_.find(effect.key); open_job != open_jobs_.end())
     retract_from_loop(open_job->second);
 }
 
 void DurableJobService::retract_from_loop(OpenJob& open_job) {
   cancel_pending_start(open_job);
-  if (open_job.reply_callback) inbox_.put(core::ClientGone{open_job.query_id, open_job.reply_callback});
+  if (open_job.reply_callback)
+    inbox_.push(core::ClientDisconnected{open_job.query_id, open_job.reply_callback});
   if (open_job.reply_callback && open_job.uses_backlog && backlog_jobs_in_loop_ > 0)
     backlog_jobs_in_loop_ -= 1;
   open_job.reply_callback.reset();
 }
 
-void DurableJobService::perform(const lease::Ask& effect) {
+void DurableJobService::perform(const lease::AskWorker& effect) {
   inquirer_.inquire(effect.worker, effect.key, effect.epoch);
 }
 
-void DurableJobService::perform(const lease::Tell& effect) {
+void DurableJobService::perform(const lease::NotifyClients& effect) {
   const Job* job = lease_table_.find(effect.key);
   const auto found = open_jobs_.find(effect.key);
   if (!job || found == open_jobs_.end()) return;
@@ -746,7 +749,7 @@
    : job->state == State::in_doubt ? counts_.in_doubt
                                    : counts_.failed) += 1;
   if (job->state == State::in_doubt)
-    core::log_line("jobs: " + effect.key + " is in doubt at " + job->worker + ": " + job->why);
+    core::log_line("jobs: " + effect.key + " is in doubt at " + job->worker + ": " + job->reason);
   const Reply reply = make_reply(*job, open_job.attributes, open_job.result);
   // A PUT still waits here if the job was refused before any client was told 202, or reached another final
   // state within the call.
@@ -761,15 +764,15 @@
 
 Reply DurableJobService::make_reply(const Job& job, const JobAttributes& attributes,
                                     const std::optional<std::string>& result) {
-  const std::string state = lease::name_of(job.state);
+  const std::string state = lease::state_name(job.state);
   switch (job.state) {
     case State::finished:
       return {200, state, result.value_or(""), 0};
     case State::failed:
     case State::in_doubt:
-      return {502, state, job.why + '\n', 0};
+      return {502, state, job.reason + '\n', 0};
     case State::refused:
-      return {503, state, job.why + '\n', attributes.retry_after_ms};
+      return {503, state, job.reason + '\n', attributes.retry_after_ms};
     default:
       return {202, state, {}, 0};
   }
@@ -798,7 +801,7 @@
     if (waiter->wait_until <= clock_.now()) {
       const Job* job = lease_table_.find(waiter->key);
       replies_.emplace_back(std::move(waiter->reply),
-                            Reply{202, job ? lease::name_of(job->state) : "", {}, 0});
+                            Reply{202, job ? lease::state_name(job->state) : "", {}, 0});
       waiters_.erase(waiter);
     }
     waiter = next;
@@ -810,12 +813,12 @@
 store::Record DurableJobService::make_record(const std::string& key) {
   const Job& job = *lease_table_.find(key);
   const OpenJob& open_job = open_jobs_.at(key);
-  store::Record record{key, serialize_meta(job, open_job.attributes), store::Standing::open, job.changed, {},
-                       {}};
+  store::Record record{
+      key, serialize_meta(job, open_job.attributes), store::RecordState::open, job.changed_at, {}, {}};
   if (job.state == State::in_doubt)
-    record.standing = store::Standing::retained;
+    record.state = store::RecordState::retained;
   else if (lease::is_final(job.state))
-    record.standing = store::Standing::closed;
+    record.state = store::RecordState::closed;
   if (!open_job.body_written && open_job.content) record.body = open_job.content->body;
   if (job.state == State::finished) record.result = open_job.result.value_or("");
   return record;
@@ -823,16 +826,16 @@
 
 std::string DurableJobService::serialize_meta(const Job& job, const JobAttributes& attributes) const {
   json object = {{"key", job.key},
-                 {"state", lease::name_of(job.state)},
-                 {"once", job.repeat == lease::Repeat::once},
+                 {"state", lease::state_name(job.state)},
+                 {"once", job.repeat == lease::RepeatPolicy::at_most_once},
                  {"class", attributes.class_name},
                  {"deadline", job.deadline},
                  {"epoch", job.epoch},
                  {"worker", job.worker},
                  {"ledger", job.ledger},
-                 {"answers", job.answers},
-                 {"changed", job.changed},
-                 {"why", job.why},
+                 {"answers", job.answers_inquiries},
+                 {"changed", job.changed_at},
+                 {"why", job.reason},
                  {"digest", attributes.digest},
                  {"target", attributes.target},
                  {"fields", attributes.header_fields},
@@ -847,15 +850,16 @@
     const json object = json::parse(record.meta);
     Job job;
     job.key = record.key;
-    job.state = lease::state_of(object.at("state")).value();
-    job.repeat = object.at("once").get<bool>() ? lease::Repeat::once : lease::Repeat::safe;
+    job.state = lease::state_from_name(object.at("state")).value();
+    job.repeat =
+        object.at("once").get<bool>() ? lease::RepeatPolicy::at_most_once : lease::RepeatPolicy::idempotent;
     job.deadline = object.at("deadline");
     job.epoch = object.at("epoch");
     job.worker = object.at("worker");
     job.ledger = object.at("ledger");
-    job.answers = object.at("answers");
-    job.changed = object.at("changed");
-    job.why = object.at("why");
+    job.answers_inquiries = object.at("answers");
+    job.changed_at = object.at("changed");
+    job.reason = object.at("why");
     JobAttributes attributes{object.at("class"),  object.at("digest"), object.at("target"),
                              object.at("fields"), object.at("slots"),  std::nullopt,
                              object.at("retry")};
@@ -867,7 +871,8 @@
   }
 }
 
-std::optional<lease::Repeat> DurableJobService::find_repeat_policy(const std::string& class_name) const {
+std::optional<lease::RepeatPolicy> DurableJobService::find_repeat_policy(
+    const std::string& class_name) const {
   const auto found = repeat_policies_.find(class_name);
   if (found == repeat_policies_.end()) return std::nullopt;
   return found->second;
@@ -885,7 +890,7 @@
   store_bytes_used_ = store_->bytes_used();
   next_compaction_ms_ =
       clock_.now() +
-      (compacted.dropped == kMaxRecordsPerCompaction ? kCompactionIntervalMs / 10 : kCompactionIntervalMs);
+      (compacted.deleted == kMaxRecordsPerCompaction ? kCompactionIntervalMs / 10 : kCompactionIntervalMs);
 }
 
 void DurableJobService::log_stats() {
--- a/src/jobs/keeper.hpp
+++ b/src/jobs/keeper.hpp
@@ -37,9 +37,9 @@
   double retention_ms = 7 * 86'400'000.0;  // finished jobs are deleted after this time
   // A job's deadline lies this long before its client gives up, which leaves time to ask a new process.
   double deadline_margin_ms = 250;
-  std::size_t max_open_jobs = 10'000;     // jobs that have no final state
-  std::size_t most_group = 4'096;         // maximum number of messages that share one commit
-  std::set<std::string> answering_kinds;  // kinds of workers that answer inquiries about jobs; "*": all
+  std::size_t max_open_jobs = 10'000;           // jobs that have no final state
+  std::size_t max_messages_per_commit = 4'096;  // maximum number of messages that share one commit
+  std::set<std::string> answering_kinds;        // kinds of workers that answer inquiries about jobs; "*": all
 };
 
 // A job as its client submits it.
@@ -61,7 +61,7 @@
 struct InquiryReply {
   std::string key;
   std::uint64_t epoch = 0;
-  lease::Says answer = lease::Says::unreachable;
+  lease::InquiryAnswer answer = lease::InquiryAnswer::unreachable;
   std::string ledger, result, worker;
 };
 // Sends inquiries to workers. Each one is eventually answered through
@@ -76,7 +76,7 @@
 };
 
 // Takes jobs from frontends, commits their states to the store, and has the decision loop run them.
-class DurableJobService : public core::Executor, public core::Witness {
+class DurableJobService : public core::Executor, public core::ExecutionObserver {
  public:
   // `classes` and `class_names` are those of the decision loop. `next_executor` runs the executions.
   DurableJobService(Settings settings, const woadtide::Settings& classes,
@@ -124,12 +124,12 @@
     if (!is_job(key)) next_executor_.withdraw(key);
   }
   void probe(const std::string& worker) override { next_executor_.probe(worker); }
-  void exclude(const std::string& worker, bool excluded) override {
-    next_executor_.exclude(worker, excluded);
+  void set_excluded(const std::string& worker, bool excluded) override {
+    next_executor_.set_excluded(worker, excluded);
   }
-  void heard(const core::ExecutionKey& key) override;
-  void ended(const core::ExecutionKey& key, woadtide::Status status, const std::string& result,
-             bool reported_by_worker) override;
+  void on_activity(const core::ExecutionKey& key) override;
+  void on_ended(const core::ExecutionKey& key, woadtide::Status status, const std::string& result,
+                bool reported_by_worker) override;
 
  private:
   class JobReplyCallback;
@@ -222,12 +222,12 @@
   void commit(bool force);
   void perform_effect(const lease::Effect& effect);
   void perform(const lease::Dispatch& effect);
-  void perform(const lease::Start& effect);
-  void perform(const lease::Unsend& effect);
-  void perform(const lease::Retract& effect);
-  void perform(const lease::Write&) {}
-  void perform(const lease::Ask& effect);
-  void perform(const lease::Tell& effect);
+  void perform(const lease::StartExecution& effect);
+  void perform(const lease::CancelStart& effect);
+  void perform(const lease::RetractFromModule& effect);
+  void perform(const lease::WriteRecord&) {}
+  void perform(const lease::AskWorker& effect);
+  void perform(const lease::NotifyClients& effect);
   void submit_to_loop(const std::string& key);
   void submit_from_backlog();
   void cancel_pending_start(OpenJob& open_job);
@@ -243,13 +243,13 @@
   Reply make_reply(const lease::Job& job, const JobAttributes& attributes,
                    const std::optional<std::string>& result);
   Reply make_stored_reply(const store::Record& record);
-  std::optional<lease::Repeat> find_repeat_policy(const std::string& class_name) const;
+  std::optional<lease::RepeatPolicy> find_repeat_policy(const std::string& class_name) const;
   bool answers_inquiries(const std::string& worker) const;
   OpenJob* find_open_job(const core::ExecutionKey& key);
   double store_time() const { return clock_.now() + store_time_offset_ms_; }
 
   Settings settings_;
-  std::map<std::string, lease::Repeat> repeat_policies_;  // by class
+  std::map<std::string, lease::RepeatPolicy> repeat_policies_;  // by class
   core::Clock& clock_;
   core::Inbox& inbox_;
   core::Executor& next_executor_;
@@ -265,7 +265,7 @@
 
   // Used by the service's thread only:
   std::optional<store::Store> store_;
-  lease::Table lease_table_;
+  lease::LeaseTable lease_table_;
   std::map<std::string, OpenJob> open_jobs_;  // by key
   std::map<std::string, std::string> key_by_query_id_;
   std::map<std::string, std::string> ledger_by_worker_;  // as each worker last reported it
--- a/src/lab/acceptor.cpp
+++ b/src/lab/acceptor.cpp
@@ -41,7 +41,7 @@
   {
     const std::lock_guard lock(mutex_);
     for (Link& link : links_)
-      if (link.socket) link.socket.shut();
+      if (link.socket) link.socket.shut_down();
   }
   links_.clear();
 }
@@ -55,9 +55,9 @@
   for (;;) {
     const bool full = join_finished() >= max_links_;
     const auto [ready, stopped] =
-        full ? net::wait_for(stop_event_.get(), POLLIN, -1, clock_.now() + kFullRetryMs, clock_)
-             : net::wait_for(listener_.fd(), POLLIN, stop_event_.get(), clock_.now() + kReapIntervalMs,
-                             clock_);
+        full ? net::poll_until(stop_event_.get(), POLLIN, -1, clock_.now() + kFullRetryMs, clock_)
+             : net::poll_until(listener_.fd(), POLLIN, stop_event_.get(), clock_.now() + kReapIntervalMs,
+                               clock_);
     if (full ? ready != 0 : stopped != 0) return;
     if (!full && ready != 0) accept_link();
   }
--- a/src/lab/cluster/arena.cpp
+++ b/src/lab/cluster/arena.cpp
@@ -62,13 +62,13 @@
   RunResult run() {
     plan_.start_ms = clock_.now() + kStartupMs;
     write_plan(plan_, file("plan.json"));
-    registry_ = Process(
+    registry_ = ChildProcess(
         {settings_.lab_program, "registry", "--plan", file("plan.json"), "--record", file("told.jsonl")}, {},
         file("registry.log"));
     for (auto& [name, managed] : processes_) start(name, managed);
     for (auto& [name, managed] : processes_)
       if (name.front() == 'n') await_ready(name, managed);
-    std::vector<Process> clients;
+    std::vector<ChildProcess> clients;
     for (const auto& [name, address] : plan_.client_addresses)
       clients.emplace_back(
           std::vector<std::string>{settings_.lab_program, "clients", "--plan", file("plan.json"), "--to",
@@ -78,12 +78,12 @@
     await_clients(clients);
     RunResult result;
     if (fleet_) {
-      result.change = judge_change(finish_change());
+      result.change = check_change(finish_change());
       if (!result.change->good())
         crashes_.insert(crashes_.end(), result.change->lines.begin(), result.change->lines.end());
     }
     for (auto& [name, managed] : processes_)
-      if (managed.process.alive())
+      if (managed.process.is_running())
         ::kill(managed.process.pid(), SIGTERM);  // all at once, since a shutdown takes seconds
     for (auto& [name, managed] : processes_) stop(name, managed);
     registry_.kill();
@@ -99,7 +99,7 @@
  private:
   struct ManagedProcess {
     int port = 0, active_outages = 0;  // active_outages: faults that keep the process down
-    Process process;
+    ChildProcess process;
   };
   std::string file(const std::string& name) const { return settings_.folder + '/' + name; }
   double now() const { return clock_.now() - plan_.start_ms; }
@@ -107,15 +107,15 @@
   // Attributes each unexpected exit under a supervisor to a scheduled fault or to the defect of the new
   // version, and reports the others. An exit by the defect is added to the faults, because it interrupts
   // queries as a kill does.
-  ChangeBooks finish_change() {
+  ChangeRecords finish_change() {
     const double deadline_ms = now() + kChangeTimeoutMs;
     while (!fleet_->finished() && now() < deadline_ms) poll_processes();
-    const ChangeBooks records = fleet_->finish();
+    const ChangeRecords records = fleet_->finish();
     for (const std::string& line : fleet_->crashes()) crashes_.push_back(line);
     std::map<int, std::string> versions;
-    for (const Life& life : records.lives) {
-      if (life.what == "start") versions[life.pid] = life.version;
-      if (life.what != "gone" || !life.unordered) continue;
+    for (const SupervisorEvent& life : records.events) {
+      if (life.event == "start") versions[life.pid] = life.version;
+      if (life.event != "gone" || !life.unexpected) continue;
       const double at_ms = life.at_ms - plan_.start_ms;
       const bool expected = std::any_of(plan_.faults.begin(), plan_.faults.end(), [&](const Fault& fault) {
         return fault.kind == FaultKind::kill && fault.process == life.member &&
@@ -167,23 +167,24 @@
     if (name.front() == 'n' && fleet_)
       managed.process = fleet_->start_supervisor(name);
     else if (name.front() == 'n')
-      managed.process = Process({settings_.dispatcher_program, "serve", "--config", file(name + ".json")},
-                                {{"TMPDIR", file("tmp-" + name)}}, file(name + ".log"));
+      managed.process =
+          ChildProcess({settings_.dispatcher_program, "serve", "--config", file(name + ".json")},
+                       {{"TMPDIR", file("tmp-" + name)}}, file(name + ".log"));
     else
       managed.process = start_worker(name, managed);
   }
-  Process start_worker(const std::string& name, const ManagedProcess& managed) const {
+  ChildProcess start_worker(const std::string& name, const ManagedProcess& managed) const {
     std::vector<std::string> arguments{settings_.lab_program,        "worker",   "--port",
                                        std::to_string(managed.port), "--ledger", file(name + ".ledger")};
     if (plan_.scenario.steady) arguments.push_back("--steady");
-    return Process(arguments, {}, file("workers.log"));
+    return ChildProcess(arguments, {}, file("workers.log"));
   }
   void await_ready(const std::string& name, ManagedProcess& managed) {
-    while (now() < 0 && managed.process.alive()) {
-      if (managed.process.ended()) break;
+    while (now() < 0 && managed.process.is_running()) {
+      if (managed.process.poll_exit()) break;
       JobClient client(managed.port);
       const auto response =
-          client.call("GET /health/ready HTTP/1.1\r\nHost: lab\r\n\r\n", clock_.now() + 200);
+          client.send_request("GET /health/ready HTTP/1.1\r\nHost: lab\r\n\r\n", clock_.now() + 200);
       if (response && response->status == 200) return;
       ::poll(nullptr, 0, 10);
     }
@@ -237,7 +238,7 @@
     if (is_controller_fault(fault.kind)) return;  // no controller in this run
     ManagedProcess& managed = processes_.at(fault.process);
     if (fault.kind == FaultKind::stop || fault.kind == FaultKind::supervisor_stop) {
-      if (managed.process.alive()) ::kill(managed.process.pid(), begins ? SIGSTOP : SIGCONT);
+      if (managed.process.is_running()) ::kill(managed.process.pid(), begins ? SIGSTOP : SIGCONT);
     } else if (begins) {
       managed.process.kill();
       managed.active_outages += 1;
@@ -258,7 +259,7 @@
   void poll_processes() {
     ::poll(nullptr, 0, kPollIntervalMs);
     for (auto& [name, managed] : processes_)
-      if (const auto status = managed.process.ended()) {
+      if (const auto status = managed.process.poll_exit()) {
         crashes_.push_back(name + ": exited unexpectedly, status " + std::to_string(*status));
         start(name, managed);
       }
@@ -268,19 +269,19 @@
     std::fprintf(stderr, "%.0f of %.0f s\n", last_progress_ms_ / 1'000, plan_.scenario.seconds);
   }
   // Waits until the last queries of the clients have ended.
-  void await_clients(std::vector<Process>& clients) {
+  void await_clients(std::vector<ChildProcess>& clients) {
     const double deadline_ms = plan_.scenario.seconds * 1'000 + 3 * plan_.scenario.budget_ms + 5'000;
-    for (Process& client : clients) {
+    for (ChildProcess& client : clients) {
       std::optional<int> status;
-      while (!(status = client.ended()) && now() < deadline_ms) poll_processes();
+      while (!(status = client.poll_exit()) && now() < deadline_ms) poll_processes();
       if (!status || *status != 0)
         crashes_.push_back("clients: failed or did not exit in time; see clients.log");
     }
   }
   void stop(const std::string& name, ManagedProcess& managed) {
     if (name.front() != 'n') return managed.process.kill();
-    if (!managed.process.alive()) return;
-    const int status = managed.process.end();
+    if (!managed.process.is_running()) return;
+    const int status = managed.process.terminate();
     if (!WIFEXITED(status) || WEXITSTATUS(status) != 0)
       crashes_.push_back(name + ": status " + std::to_string(status) + " when it was stopped");
   }
@@ -294,7 +295,7 @@
   std::map<std::string, ManagedProcess> processes_;
   std::optional<Fleet> fleet_;
   std::map<const Fault*, std::vector<pid_t>> stopped_pids_;
-  Process registry_;
+  ChildProcess registry_;
   std::vector<std::string> crashes_;
   double last_progress_ms_ = 0;
 };
--- a/src/lab/cluster/clients.cpp
+++ b/src/lab/cluster/clients.cpp
@@ -28,7 +28,7 @@
         address_(plan_.client_addresses.at(dispatcher_)),
         random_(plan_.seed, static_cast<std::uint64_t>(std::stoi(dispatcher_.substr(1))) + 1),
         records_(record),
-        thread_pool_({.most = kMaxConcurrentQueries}) {}
+        thread_pool_({.max_threads = kMaxConcurrentQueries}) {}
 
   void run() {
     const Scenario& scenario = plan_.scenario;
@@ -43,7 +43,7 @@
       while (now() < next_ms) ::poll(nullptr, 0, 1);
       // At the limit the query is skipped: waiting would turn the open loop into a closed one and hide
       // delays.
-      if (!thread_pool_.take(
+      if (!thread_pool_.try_submit(
               [this, query, honours_retry_after] { send_with_retry(query, honours_retry_after); }))
         continue;
     }
@@ -73,7 +73,7 @@
     query.sent_ms = query.ended_ms = now();
     query.outcome = QueryRecord::Outcome::not_sent;
     const double deadline_ms = clock_.now() + plan_.scenario.budget_ms;
-    net::Socket socket = net::Socket::make(address_);
+    net::Socket socket = net::Socket::create(address_);
     const std::string body = "of " + query.id;
     const std::string request =
         "POST /api?user=" + query.id + " HTTP/1.1\r\nHost: lab\r\nX-Call-Id: " + query.id +
@@ -82,7 +82,7 @@
         "m\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     double retry_after_ms = 0;
     if (socket.connect(address_, kConnectTimeoutMs) &&
-        socket.send({request}, deadline_ms, clock_) == net::Io::done) {
+        socket.send({request}, deadline_ms, clock_) == net::IoResult::done) {
       query.sent_ms = now();
       retry_after_ms = read_answer(socket, query, deadline_ms + kLateAnswerMs);
     }
@@ -97,15 +97,16 @@
     try {
       for (std::size_t message_bytes = 0; message_bytes == 0 || received.size() < message_bytes;) {
         std::size_t received_bytes = 0;
-        const net::Io result =
+        const net::IoResult result =
             socket.receive(buffer.data(), buffer.size(), received_bytes, deadline_ms, clock_);
-        if (result == net::Io::late) query.outcome = QueryRecord::Outcome::timed_out;
-        if (result != net::Io::done) return 0;
+        if (result == net::IoResult::timed_out) query.outcome = QueryRecord::Outcome::timed_out;
+        if (result != net::IoResult::done) return 0;
         received.append(buffer.data(), received_bytes);
         const std::size_t head_bytes = net::head_length(received);
         if (head_bytes == 0) continue;
-        const net::Head head = net::read_answer_head(std::string_view(received).substr(0, head_bytes));
-        message_bytes = head_bytes + static_cast<std::size_t>(net::framing_of_answer(head).length);
+        const net::MessageHead head =
+            net::parse_response_head(std::string_view(received).substr(0, head_bytes));
+        message_bytes = head_bytes + static_cast<std::size_t>(net::response_framing(head).length);
         query.status = head.status;
         if (received.size() < message_bytes) continue;
         query.outcome = QueryRecord::Outcome::answered;
@@ -126,7 +127,7 @@
   pcg32 random_;
   int query_count_ = 0;
   JsonLinesFile records_;
-  park::Crew thread_pool_;  // declared last: its destructor waits for tasks that use the other members
+  park::ThreadPool thread_pool_;  // declared last: its destructor waits for tasks that use the other members
 };
 
 }  // namespace
--- a/src/lab/cluster/fleet.cpp
+++ b/src/lab/cluster/fleet.cpp
@@ -70,14 +70,14 @@
   fs::permissions(file("new-version"), fs::perms::owner_all);
 }
 
-Process Fleet::start_supervisor(const std::string& dispatcher) const {
-  return Process({program_, "supervise", "--operator", file("supervise-" + dispatcher + ".toml")}, {},
-                 file(dispatcher + ".log"));
+ChildProcess Fleet::start_supervisor(const std::string& dispatcher) const {
+  return ChildProcess({program_, "supervise", "--operator", file("supervise-" + dispatcher + ".toml")}, {},
+                      file(dispatcher + ".log"));
 }
 
 std::vector<pid_t> Fleet::process_ids(const std::string& dispatcher) const {
   std::vector<pid_t> pids;
-  const auto reply = net::call(control_address(dispatcher), "status", kStatusTimeoutMs);
+  const auto reply = net::call_line(control_address(dispatcher), "status", kStatusTimeoutMs);
   const json status =
       reply && reply->starts_with("done ") ? json::parse(reply->substr(5), nullptr, false) : json();
   if (!status.is_object()) return pids;
@@ -91,7 +91,7 @@
   std::vector<std::string> arguments{program_,        "rollout", command, "--operator", file("control.toml"),
                                      "--until-paused"};
   if (command == "start") arguments.insert(arguments.end(), {"--program", file("new-version")});
-  controller_ = Process(arguments, {}, file("control.log"));
+  controller_ = ChildProcess(arguments, {}, file("control.log"));
 }
 
 // Restarts a controller that has exited or was killed. After the first pause the simulated operator resumes
@@ -104,15 +104,15 @@
   }
   if (change.abort_s > 0 && !abort_requested_ && change_started_ && now_ms >= change.abort_s * 1'000) {
     abort_requested_ = true;
-    if (controller_.alive())
-      abort_command_ = Process({program_, "rollout", "abort", "--operator", file("control.toml")}, {},
-                               file("control.log"));
+    if (controller_.is_running())
+      abort_command_ = ChildProcess({program_, "rollout", "abort", "--operator", file("control.toml")}, {},
+                                    file("control.log"));
     else
       next_command_ = "abort";
   }
-  abort_command_.ended();
+  abort_command_.poll_exit();
   if (!change_started_ || change_finished_) return;
-  if (const auto status = controller_.ended()) {
+  if (const auto status = controller_.poll_exit()) {
     const int exit_code = WIFEXITED(*status) ? WEXITSTATUS(*status) : -1;
     if (exit_code == 0 || exit_code == kExitRolledBack) {
       change_finished_ = true;
@@ -124,7 +124,7 @@
       crashes_.push_back("controller: exited unexpectedly, status " + std::to_string(*status) +
                          "; see control.log");
   }
-  if (controller_.alive() || active_outages_ > 0) return;
+  if (controller_.is_running() || active_outages_ > 0) return;
   if (next_command_.empty()) next_command_ = "resume";
   // A controller that was killed before it stored the change gets the start command again.
   const bool state_exists = fs::exists(file("control") + "/state");
@@ -133,7 +133,7 @@
 
 void Fleet::inject_fault(FaultKind kind, bool begins) {
   if (kind == FaultKind::controller_stop) {
-    if (controller_.alive()) ::kill(controller_.pid(), begins ? SIGSTOP : SIGCONT);
+    if (controller_.is_running()) ::kill(controller_.pid(), begins ? SIGSTOP : SIGCONT);
     return;
   }
   if (!begins) {
@@ -148,24 +148,24 @@
     fs::rename(file("control") + "/state.before", file("control") + "/state", ignored_error);
 }
 
-ChangeBooks Fleet::finish() {
+ChangeRecords Fleet::finish() {
   controller_.kill();
   abort_command_.kill();
   std::map<std::string, std::string> histories;
   for (const auto& [dispatcher, ports] : ports_)
     histories[dispatcher] = file("sup-" + dispatcher) + "/history.jsonl";
-  ChangeBooks records = read_change(histories, file("control") + "/history.jsonl");
+  ChangeRecords records = read_change_records(histories, file("control") + "/history.jsonl");
   for (const auto& [dispatcher, ports] : ports_) {
     // A process that has just crashed may still be restarting.
     std::optional<std::string> reply;
     for (int attempt = 0; attempt < kMaxStatusTries; ++attempt) {
-      reply = net::call(control_address(dispatcher), "status", kStatusTimeoutMs);
+      reply = net::call_line(control_address(dispatcher), "status", kStatusTimeoutMs);
       if (reply && reply->find("\"serves\":true") != std::string::npos) break;
       ::poll(nullptr, 0, static_cast<int>(kStatusTimeoutMs));
     }
     const json status =
         reply && reply->starts_with("done ") ? json::parse(reply->substr(5), nullptr, false) : json();
-    records.runs[dispatcher] = status.is_object() ? status.value("version", "") : "";
+    records.final_versions[dispatcher] = status.is_object() ? status.value("version", "") : "";
   }
   return records;
 }
--- a/src/lab/cluster/fleet.hpp
+++ b/src/lab/cluster/fleet.hpp
@@ -31,7 +31,7 @@
         const std::vector<int>& ports);
 
   // Starts the supervisor of a dispatcher.
-  Process start_supervisor(const std::string& dispatcher) const;
+  ChildProcess start_supervisor(const std::string& dispatcher) const;
   // Returns all processes of a dispatcher, the leading one first; none if its supervisor does not answer.
   std::vector<pid_t> process_ids(const std::string& dispatcher) const;
 
@@ -41,7 +41,7 @@
   void inject_fault(FaultKind kind, bool begins);
   bool finished() const { return change_finished_; }
   // Kills the controller and returns the histories and the version that each dispatcher runs.
-  ChangeBooks finish();
+  ChangeRecords finish();
   const std::vector<std::string>& crashes() const { return crashes_; }
 
  private:
@@ -54,7 +54,7 @@
   const Plan& plan_;
   const std::string folder_, program_;
   std::map<std::string, std::vector<int>> ports_;
-  Process controller_, abort_command_;
+  ChildProcess controller_, abort_command_;
   bool change_started_ = false, change_finished_ = false, abort_requested_ = false;
   int active_outages_ = 0, pause_count_ = 0;
   std::string next_command_;  // rollout command for the next start of the controller
--- a/src/lab/cluster/judge.cpp
+++ b/src/lab/cluster/judge.cpp
@@ -18,15 +18,15 @@
 
   Findings run() {
     for (const auto& [worker, entries] : records_.ledgers)
-      for (const Entry& entry : entries) {
+      for (const LedgerEntry& entry : entries) {
         if (entry.what == "begun") start_counts_[entry.key] += 1;
-        if (entry.what == "begun" && entry.once && start_counts_[entry.key] == 2)
+        if (entry.what == "begun" && entry.at_most_once && start_counts_[entry.key] == 2)
           add_finding(findings_.duplicate_payouts, entry.key + ": a payout was started twice");
         if (entry.what == "finished") results_[entry.key].insert(entry.result);
       }
     for (const QueryRecord& query : records_.queries) check_query(query);
     for (const auto& [worker, entries] : records_.ledgers)
-      for (const Entry& entry : entries)
+      for (const LedgerEntry& entry : entries)
         if (entry.what == "begun") check_start(worker, entry);
     return std::move(findings_);
   }
@@ -89,10 +89,10 @@
   }
 
   // The sender follows from the address under which the worker was called: each dispatcher has its own relay.
-  void check_start(const std::string& worker, const Entry& entry) {
+  void check_start(const std::string& worker, const LedgerEntry& entry) {
     const auto sender = std::find_if(
         plan_.worker_addresses.begin(), plan_.worker_addresses.end(), [&](const auto& addresses) {
-          return addresses.second.contains(worker) && addresses.second.at(worker) == entry.via;
+          return addresses.second.contains(worker) && addresses.second.at(worker) == entry.called_address;
         });
     if (sender == plan_.worker_addresses.end()) return;
     const std::string& dispatcher = sender->first;
--- a/src/lab/cluster/judge.hpp
+++ b/src/lab/cluster/judge.hpp
@@ -14,7 +14,7 @@
 struct RunRecords {
   std::vector<QueryRecord> queries;
   std::vector<DiscoveryNotice> notices;
-  std::map<std::string, std::vector<Entry>> ledgers;  // by worker
+  std::map<std::string, std::vector<LedgerEntry>> ledgers;  // by worker
 };
 
 // Result of the check: counts of outcomes and of violations.
--- a/src/lab/cluster/registry.cpp
+++ b/src/lab/cluster/registry.cpp
@@ -61,7 +61,7 @@
     return json({{"seq", sequence()}, {"whole", true}, {"hosts", std::move(hosts)}}).dump() + '\n';
   }
   bool write(net::Socket& socket, const std::string& text) {
-    return socket.send({text}, clock_.now() + kIoTimeoutMs, clock_) == net::Io::done;
+    return socket.send({text}, clock_.now() + kIoTimeoutMs, clock_) == net::IoResult::done;
   }
   bool write_chunk(net::Socket& socket, const std::string& text) {
     char size[16];
@@ -78,11 +78,11 @@
 
   void serve(net::Socket& socket) {
     net::BufferPool buffer_pool(1);
-    net::Intake input(socket, clock_, buffer_pool);
-    net::Io result = net::Io::done;
-    const auto length = input.head(clock_.now() + kIoTimeoutMs, result);
+    net::BufferedInput input(socket, clock_, buffer_pool);
+    net::IoResult result = net::IoResult::done;
+    const auto length = input.read_head(clock_.now() + kIoTimeoutMs, result);
     if (!length) return;
-    const net::Head head = net::read_query_head(input.view().substr(0, *length));
+    const net::MessageHead head = net::parse_request_head(input.view().substr(0, *length));
     const std::string dispatcher = dispatcher_of_host(std::string(head.find("Host").value_or("")));
     if (dispatcher.empty()) return;
     if (!write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")) return;
--- a/src/lab/cluster/relay.cpp
+++ b/src/lab/cluster/relay.cpp
@@ -105,7 +105,7 @@
   }
   if (route.fault == FaultKind::stall) return true;
   if (!std::exchange(connection.connected, true)) {
-    connection.ends[1] = net::Socket::make(route.target);
+    connection.ends[1] = net::Socket::create(route.target);
     if (!connection.ends[1].connect(route.target, kConnectTimeoutMs)) {
       // Nobody listens: a reset is the closest that a relay has to a refused connection.
       reset_on_close(connection.ends[0]);
@@ -130,10 +130,10 @@
   std::array<char, 16 * 1024> buffer{};
   while (!stream.end_received && stream.held_bytes < kMaxHeldBytes) {
     std::size_t received_bytes = 0;
-    const net::Io result = from.receive(buffer.data(), buffer.size(), received_bytes);
-    if (result == net::Io::late) break;
-    if (result == net::Io::broken) return false;
-    if (result == net::Io::ended) {
+    const net::IoResult result = from.receive(buffer.data(), buffer.size(), received_bytes);
+    if (result == net::IoResult::timed_out) break;
+    if (result == net::IoResult::failed) return false;
+    if (result == net::IoResult::end_of_stream) {
       stream.end_received = true;
       break;
     }
@@ -144,7 +144,7 @@
   }
   while (!stream.chunks.empty() && stream.chunks.front().due_ms <= now_ms) {
     std::string& data = stream.chunks.front().data;
-    const std::size_t sent_bytes = to.send_some({data});
+    const std::size_t sent_bytes = to.send_available({data});
     stream.held_bytes -= sent_bytes;
     if (sent_bytes < data.size()) {
       data.erase(0, sent_bytes);
@@ -153,7 +153,7 @@
     stream.chunks.pop_front();
   }
   if (stream.end_received && stream.chunks.empty() && !std::exchange(stream.end_forwarded, true))
-    to.shut(SHUT_WR);
+    to.shut_down(SHUT_WR);
   return true;
 }
 
