--- a/src/lab/crash.cpp
+++ b/src/lab/crash.cpp
@@ -35,7 +35,7 @@
 struct WorkerProcess {
   std::string name;
   int port = 0, incarnation = 0;
-  Process process;
+  ChildProcess process;
   double restart_at_ms = 0;  // not restarted before
 };
 
@@ -51,7 +51,7 @@
       WorkerProcess& worker = workers_.emplace_back();
       worker.name = "w" + std::to_string(i);
       worker.port = ports_[static_cast<std::size_t>(i) + 3];
-      discovery_.set(worker.name, "127.0.0.1:" + std::to_string(worker.port));
+      discovery_.set_worker(worker.name, "127.0.0.1:" + std::to_string(worker.port));
       start_worker(worker);
     }
     write_files();
@@ -79,7 +79,7 @@
     repeat_inquiries();
     test_over_ = true;
     restarter.join();
-    dispatcher_.end();
+    dispatcher_.terminate();
     for (WorkerProcess& worker : workers_) worker.process.kill();
     check_records();
     return report_;
@@ -90,7 +90,7 @@
     start_dispatcher();
     run_job("first", false);  // creates the store, whose first operations are not part of the sweep
     for (int operation_number = 1; report.runs < kMaxSweepRuns; ++operation_number) {
-      dispatcher_.end();
+      dispatcher_.terminate();
       start_dispatcher({{"WOADTIDE_FAULT", kind + ':' + std::to_string(operation_number) + kDelaySuffix},
                         {"WOADTIDE_FAULT_COUNT", count_path()}});
       bool killed_by_fault = false;
@@ -98,7 +98,7 @@
       std::thread restarter([&] {
         while (!job_over) {
           ::poll(nullptr, 0, 2);
-          if (!dispatcher_.ended()) continue;
+          if (!dispatcher_.poll_exit()) continue;
           killed_by_fault = true;
           start_dispatcher();
         }
@@ -131,7 +131,7 @@
   void run_job(const std::string& key, bool once) {
     JobClient client(ports_[1]);
     record({key, "asked", once, 0, {}, {}});
-    record(client.bring(key, once, "body of " + key, settings_.budget_ms));
+    record(client.run_job(key, once, "body of " + key, settings_.budget_ms));
   }
   int kill_count() const {
     return report_.dispatcher_kills + report_.store_kills + report_.worker_kills + report_.both_kills;
@@ -144,7 +144,9 @@
     // jobs is the same.
     for (const int config_index : {0, 1})
       std::ofstream(config_path(config_index))
-          << config_json(discovery_.list(), discovery_.dial(), ports_[config_index == 0 ? 0 : 2]).dump(2)
+          << config_json(discovery_.serialized_list(), discovery_.address(),
+                         ports_[config_index == 0 ? 0 : 2])
+                 .dump(2)
           << '\n';
     std::ofstream(settings_.folder + "/operator.toml")
         << "[jobs]\nenabled = true\nlisten = \"127.0.0.1:" << jobs_port << "\"\nfolder = \""
@@ -157,16 +159,17 @@
     if (settings_.store_faults && !faults_paused_ && random_below(2) == 0)
       environment["WOADTIDE_FAULT"] =
           "kill:" + std::to_string(1 + random_below(kMaxFaultOperation)) + kDelaySuffix;
-    dispatcher_ = Process({settings_.dispatcher_program, "serve", "--config", config_path(active_config_),
-                           "--operator", settings_.folder + "/operator.toml"},
-                          environment, settings_.folder + "/dispatcher.log");
+    dispatcher_ =
+        ChildProcess({settings_.dispatcher_program, "serve", "--config", config_path(active_config_),
+                      "--operator", settings_.folder + "/operator.toml"},
+                     environment, settings_.folder + "/dispatcher.log");
   }
   std::string config_path(int config_index) const {
     return settings_.folder + "/config-" + std::to_string(config_index) + ".json";
   }
   // The successor starts beside the running process, which then shuts down and releases the store.
   void hot_restart() {
-    if (replaced_.alive()) return;
+    if (replaced_.is_running()) return;
     replaced_ = std::move(dispatcher_);
     active_config_ = 1 - active_config_;
     start_dispatcher();
@@ -180,13 +183,13 @@
     std::vector<std::string> arguments = {
         lab_program_, "worker", "--port", std::to_string(worker.port), "--ledger", ledger_path(worker)};
     if (settings_.workers_answer_inquiries) arguments.push_back("--answers");
-    worker.process = Process(arguments, {}, settings_.folder + "/workers.log");
+    worker.process = ChildProcess(arguments, {}, settings_.folder + "/workers.log");
   }
 
   // Restarts processes that have exited.
   void restart_ended() {
     ::poll(nullptr, 0, kPollIntervalMs);
-    if (const auto status = dispatcher_.ended()) {
+    if (const auto status = dispatcher_.poll_exit()) {
       if (WIFSIGNALED(*status) && WTERMSIG(*status) == SIGKILL) {
         report_.store_kills += 1;
       } else {
@@ -194,11 +197,11 @@
         std::fprintf(stderr, "the dispatcher exited unexpectedly, status %d\n", *status);
       }
     }
-    if (const auto status = replaced_.ended(); status && *status != 0 && !WIFSIGNALED(*status))
+    if (const auto status = replaced_.poll_exit(); status && *status != 0 && !WIFSIGNALED(*status))
       report_.unexpected_exits += 1;
-    if (!dispatcher_.alive()) start_dispatcher();
+    if (!dispatcher_.is_running()) start_dispatcher();
     for (WorkerProcess& worker : workers_)
-      if (!worker.process.alive() && clock_.now() >= worker.restart_at_ms) start_worker(worker);
+      if (!worker.process.is_running() && clock_.now() >= worker.restart_at_ms) start_worker(worker);
   }
   void kill_random() {
     const int choice = random_below(10);
@@ -227,24 +230,24 @@
       const bool once = random() % 5 < 3;
       record({key, "asked", once, 0, {}, {}});
       job_count_ += 1;
-      record(client.bring(key, once, "body of " + key + std::string(random() % 2'000, 'x'),
-                          settings_.budget_ms));
+      record(client.run_job(key, once, "body of " + key + std::string(random() % 2'000, 'x'),
+                            settings_.budget_ms));
       ::poll(nullptr, 0, static_cast<int>(random() % 20));
     }
   }
-  void record(const Seen& observation) {
+  void record(const ClientObservation& observation) {
     const std::lock_guard lock(mutex_);
     observations_.push_back(observation);
   }
   // Asks for each final answer again; it must be the same.
   void repeat_inquiries() {
     JobClient client(ports_[1]);
-    for (const Seen& observation : std::vector<Seen>(observations_)) {
+    for (const ClientObservation& observation : std::vector<ClientObservation>(observations_)) {
       if (observation.what != "told" || observation.state == "refused") continue;
-      std::optional<Heard> response;
+      std::optional<JobResponse> response;
       for (int i = 0; i < 300 && (!response || (response->status == 503 && response->state.empty())); ++i) {
         if (i > 0) ::poll(nullptr, 0, kPollIntervalMs);
-        response = client.get(observation.key, 0, client.now() + 1'000);
+        response = client.get_state(observation.key, 0, client.now() + 1'000);
       }
       if (response)
         record(
@@ -253,10 +256,10 @@
   }
   void check_records() {
     {
-      std::ofstream history(history_of(settings_.folder));
-      for (const Seen& observation : observations_) history << line_of(observation) << '\n';
+      std::ofstream history(history_path(settings_.folder));
+      for (const ClientObservation& observation : observations_) history << to_json_line(observation) << '\n';
     }
-    report_.verdict = judge_folder(settings_.folder);
+    report_.verdict = check_folder(settings_.folder);
   }
 
   const CrashSettings settings_;
@@ -264,12 +267,12 @@
   core::Clock clock_;
   pcg32 random_;
   const std::vector<int> ports_;
-  Discovery discovery_;
+  TestDiscovery discovery_;
   std::vector<WorkerProcess> workers_;
-  Process dispatcher_, replaced_;
+  ChildProcess dispatcher_, replaced_;
   int active_config_ = 0;  // configuration of the running dispatcher
   std::mutex mutex_;
-  std::vector<Seen> observations_;
+  std::vector<ClientObservation> observations_;
   std::atomic<int> job_count_{0};
   std::atomic<bool> clients_stop_{false}, faults_paused_{false}, test_over_{false};
   CrashReport report_;
--- a/src/lab/crash.hpp
+++ b/src/lab/crash.hpp
@@ -26,7 +26,7 @@
 
 // Result of a crash test: the verdict and the number of kills by kind.
 struct CrashReport {
-  Verdict verdict;
+  HistoryFindings verdict;
   int dispatcher_kills = 0, store_kills = 0, worker_kills = 0, both_kills = 0, emptied_workers = 0;
   int hot_restarts = 0;
   int unexpected_exits = 0;  // exits that the test did not cause
@@ -34,7 +34,7 @@
 
 // Result of a fault sweep.
 struct FaultSweepReport {
-  Verdict verdict;
+  HistoryFindings verdict;
   int runs = 0, deaths = 0;  // number of runs, and of those in which the dispatcher died
 };
 // Injects a fault of `kind` ("kill", "torn", "fail", "full") at the Nth operation of the dispatcher's store,
--- a/src/lab/discovery.cpp
+++ b/src/lab/discovery.cpp
@@ -25,14 +25,14 @@
 }
 }  // namespace
 
-Discovery::Discovery()
+TestDiscovery::TestDiscovery()
     : acceptor_("discovery", net::Socket::listen_at(net::Address("127.0.0.1:0")), kMaxLinks, clock_,
                 [this](net::Socket& socket) { serve(socket); }) {}
 
-Discovery::~Discovery() { stopping_ = true; }
+TestDiscovery::~TestDiscovery() { stopping_ = true; }
 
-void Discovery::set(const std::string& host, const std::string& dial, const std::string& health,
-                    const std::string& kind) {
+void TestDiscovery::set_worker(const std::string& host, const std::string& dial, const std::string& health,
+                               const std::string& kind) {
   const std::lock_guard lock(mutex_);
   endpoints_[host] = json({{"host", host},
                            {"dial", dial},
@@ -44,7 +44,7 @@
   seq_ += 1;
 }
 
-std::string Discovery::list() {
+std::string TestDiscovery::serialized_list() {
   const std::lock_guard lock(mutex_);
   json endpoints = json::array();
   for (const auto& [host, entry] : endpoints_) {
@@ -54,22 +54,22 @@
   return json({{"seq", seq_}, {"whole", true}, {"hosts", std::move(endpoints)}}).dump();
 }
 
-std::optional<double> Discovery::told_not_ready(const std::string& host) {
+std::optional<double> TestDiscovery::not_ready_sent_at(const std::string& host) {
   const std::lock_guard lock(mutex_);
   const auto found = not_ready_sent_at_.find(host);
   if (found == not_ready_sent_at_.end()) return std::nullopt;
   return found->second;
 }
 
-bool Discovery::write(net::Socket& socket, const std::string& text) {
-  return socket.send({text}, clock_.now() + kIoTimeoutMs, clock_) == net::Io::done;
+bool TestDiscovery::write(net::Socket& socket, const std::string& text) {
+  return socket.send({text}, clock_.now() + kIoTimeoutMs, clock_) == net::IoResult::done;
 }
 
-void Discovery::serve(net::Socket& socket) {
+void TestDiscovery::serve(net::Socket& socket) {
   net::BufferPool buffer_pool(1);
-  net::Intake input(socket, clock_, buffer_pool);
-  net::Io result = net::Io::done;
-  const auto length = input.head(clock_.now() + kIoTimeoutMs, result);
+  net::BufferedInput input(socket, clock_, buffer_pool);
+  net::IoResult result = net::IoResult::done;
+  const auto length = input.read_head(clock_.now() + kIoTimeoutMs, result);
   if (!length) return;
   const bool is_watch = input.view().substr(0, *length).find("follow=1") != std::string_view::npos;
   const double answer_at = clock_.now() + answer_delay_ms_;
@@ -79,12 +79,12 @@
     return;
   }
   if (is_watch) return serve_watch(socket);
-  const std::string body = list() + '\n';
+  const std::string body = serialized_list() + '\n';
   write(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: " + std::to_string(body.size()) +
                     "\r\n\r\n" + body);
 }
 
-void Discovery::serve_watch(net::Socket& socket) {
+void TestDiscovery::serve_watch(net::Socket& socket) {
   const int silence_count = silence_count_;
   if (!write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")) return;
   int sent_seq = 0;
@@ -103,7 +103,7 @@
 }
 
 // Writes the complete list if it has changed since the last write. Returns false if the watch has ended.
-bool Discovery::write_list_if_changed(net::Socket& socket, int& sent_seq) {
+bool TestDiscovery::write_list_if_changed(net::Socket& socket, int& sent_seq) {
   std::vector<std::string> not_ready;
   {
     const std::lock_guard lock(mutex_);
@@ -112,7 +112,7 @@
     for (const auto& [host, entry] : endpoints_)
       if (json::parse(entry)["health"] != "Ready") not_ready.push_back(host);
   }
-  if (!write(socket, encode_chunk(list() + '\n'))) return false;
+  if (!write(socket, encode_chunk(serialized_list() + '\n'))) return false;
   const std::lock_guard lock(mutex_);
   for (const std::string& host : not_ready) not_ready_sent_at_.try_emplace(host, clock_.now());
   return true;
--- a/src/lab/discovery.hpp
+++ b/src/lab/discovery.hpp
@@ -14,26 +14,26 @@
 namespace woadtide::lab {
 
 // In-process service discovery for tests and benchmarks. Thread-safe.
-class Discovery {
+class TestDiscovery {
  public:
-  Discovery();
-  ~Discovery();
+  TestDiscovery();
+  ~TestDiscovery();
 
   // Address for dispatchers.
-  std::string dial() const { return "127.0.0.1:" + std::to_string(acceptor_.port()); }
+  std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.port()); }
   // Adds or changes a worker. `health`: "Ready", "Terminating", "Gone"; `kind`: its class.
-  void set(const std::string& host, const std::string& dial, const std::string& health = "Ready",
-           const std::string& kind = "lab");
+  void set_worker(const std::string& host, const std::string& dial, const std::string& health = "Ready",
+                  const std::string& kind = "lab");
   // The current list as JSON.
-  std::string list();
+  std::string serialized_list();
   // While it is down, calls are refused and open watches end.
   void set_down(bool down) { down_ = down; }
   // Delays the answers to further calls.
   void set_answer_delay_ms(double delay_ms) { answer_delay_ms_ = delay_ms; }
   // Keeps the currently open watches open, but sends nothing more on them.
-  void silence_watches() { silence_count_ += 1; }
+  void mute_open_watches() { silence_count_ += 1; }
   // When a list in which the worker is not ready was first sent to any caller, in ms of the clock.
-  std::optional<double> told_not_ready(const std::string& host);
+  std::optional<double> not_ready_sent_at(const std::string& host);
 
  private:
   void serve(net::Socket& socket);
--- a/src/lab/fault_vfs.cpp
+++ b/src/lab/fault_vfs.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-std::atomic<Fault> active_fault{Fault::none};
+std::atomic<StoreFault> active_fault{StoreFault::none};
 std::atomic<int> fault_operation{0}, own_counter{0};
 std::atomic<int>* counter = &own_counter;
 std::atomic<double> sync_delay_ms{0};
@@ -43,20 +43,20 @@
 Outcome next_outcome() {
   const int number = counter->fetch_add(1) + 1, target = fault_operation;
   switch (active_fault) {
-    case Fault::none:
+    case StoreFault::none:
       return Outcome::pass;
-    case Fault::kill:
+    case StoreFault::kill:
       if (number == target) delay_then_kill();
       return Outcome::pass;
-    case Fault::torn:
+    case StoreFault::torn:
       return number == target ? Outcome::half_written : Outcome::pass;
-    case Fault::dead:
+    case StoreFault::dead:
       return number < target ? Outcome::pass : Outcome::io_error;
-    case Fault::tear:
+    case StoreFault::tear:
       return number < target ? Outcome::pass : number == target ? Outcome::half_written : Outcome::io_error;
-    case Fault::fail:
+    case StoreFault::fail:
       return number == target ? Outcome::io_error : Outcome::pass;
-    case Fault::full:
+    case StoreFault::full:
       return number == target ? Outcome::disk_full : Outcome::pass;
   }
   return Outcome::pass;
@@ -75,7 +75,7 @@
       return write(size);
     case Outcome::half_written:
       write(size / 2);
-      if (active_fault == Fault::torn) delay_then_kill();
+      if (active_fault == StoreFault::torn) delay_then_kill();
       return SQLITE_IOERR_WRITE;
     case Outcome::io_error:
       return SQLITE_IOERR_WRITE;
@@ -86,13 +86,13 @@
 }
 int truncate_file(sqlite3_file* file, sqlite3_int64 size) {
   const Outcome outcome = next_outcome();
-  if (outcome == Outcome::half_written && active_fault == Fault::torn) delay_then_kill();
+  if (outcome == Outcome::half_written && active_fault == StoreFault::torn) delay_then_kill();
   return outcome == Outcome::pass ? base_file(file)->pMethods->xTruncate(base_file(file), size)
                                   : SQLITE_IOERR_TRUNCATE;
 }
 int sync_file(sqlite3_file* file, int flags) {
   const Outcome outcome = next_outcome();
-  if (outcome == Outcome::half_written && active_fault == Fault::torn) delay_then_kill();
+  if (outcome == Outcome::half_written && active_fault == StoreFault::torn) delay_then_kill();
   if (outcome != Outcome::pass) return SQLITE_IOERR_FSYNC;
   const double ms = sync_delay_ms;
   if (ms > 0) std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(ms));
@@ -162,17 +162,17 @@
     throw std::runtime_error("the fault VFS cannot be registered");
 }
 
-void set_fault(Fault new_fault, int operation_number, double delay_ms) {
-  active_fault = Fault::none;
+void set_fault(StoreFault new_fault, int operation_number, double delay_ms) {
+  active_fault = StoreFault::none;
   fault_operation = operation_number;
   *counter = 0;
   sync_delay_ms = delay_ms;
   active_fault = new_fault;
 }
 
-int fault_operations() { return *counter; }
+int vfs_operation_count() { return *counter; }
 
-void count_faults_in(std::atomic<int>* counter_location) { counter = counter_location; }
+void count_operations_in(std::atomic<int>* counter_location) { counter = counter_location; }
 
 void set_fault(const std::string& text) {
   constexpr std::array<const char*, 7> names = {"none", "kill", "torn", "dead", "tear", "fail", "full"};
@@ -182,7 +182,7 @@
   const auto second_colon = text.find(':', first_colon + 1);
   for (std::size_t i = 0; i < names.size(); ++i)
     if (text.substr(0, first_colon) == names[i])
-      return set_fault(static_cast<Fault>(i), std::stoi(text.substr(first_colon + 1)),
+      return set_fault(static_cast<StoreFault>(i), std::stoi(text.substr(first_colon + 1)),
                        second_colon == std::string::npos ? 0 : std::stod(text.substr(second_colon + 1)));
   throw std::invalid_argument("unknown kind of fault: " + text);
 }
--- a/src/lab/faulty.cpp
+++ b/src/lab/faulty.cpp
@@ -15,7 +15,7 @@
   if (fd < 0 || ::ftruncate(fd, sizeof(std::atomic<int>)) != 0) std::abort();
   void* mapping = ::mmap(nullptr, sizeof(std::atomic<int>), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
   if (mapping == MAP_FAILED) std::abort();
-  woadtide::lab::count_faults_in(static_cast<std::atomic<int>*>(mapping));
+  woadtide::lab::count_operations_in(static_cast<std::atomic<int>*>(mapping));
 }
 
 const bool installed = [] {
--- a/src/lab/flawed.cpp
+++ b/src/lab/flawed.cpp
@@ -48,21 +48,21 @@
 constexpr unsigned kStallEveryNth = 12, kFailEveryNthPayout = 12;
 
 // Intercepts executions between the event loop and the server links.
-class FaultInjectingExtension : public Addition, private core::Executor {
+class FaultInjectingExtension : public NodeExtension, private core::Executor {
  public:
-  FaultInjectingExtension(const Parts& parts, std::string kind)
-      : links_(parts.links), inbox_(parts.inbox), kind_(std::move(kind)) {}
+  FaultInjectingExtension(const ExtensionContext& parts, std::string kind)
+      : links_(parts.server_links), inbox_(parts.inbox), kind_(std::move(kind)) {}
   core::Executor& executor() override { return *this; }
-  core::Witness* witness() override { return nullptr; }
+  core::ExecutionObserver* observer() override { return nullptr; }
   void open() override {}
-  void set_taking(bool) override {}
-  std::size_t busy() override { return 0; }
+  void set_accepting_clients(bool) override {}
+  std::size_t active_executions() override { return 0; }
   void close() override {}
 
  private:
   void start(core::Execution execution) override {
     execution_count_ += 1;
-    const bool payout = execution.parcel.fields.find("refund-payout") != std::string_view::npos;
+    const bool payout = execution.payload.header_fields.find("refund-payout") != std::string_view::npos;
     if (kind_ == "load" && execution_count_ > kCrashAfterExecutions) std::abort();
     if (kind_ == "slow" && execution_count_ % kStallEveryNth == 0)
       std::this_thread::sleep_for(std::chrono::milliseconds(kStallMs));
@@ -72,14 +72,16 @@
       core::ExecutionEnded failure;
       failure.key = execution.key;
       failure.status = Status::error;
-      return inbox_.put(std::move(failure));
+      return inbox_.push(std::move(failure));
     }
     links_.start(std::move(execution));
   }
   void cancel(const core::ExecutionKey& key) override { links_.cancel(key); }
   void withdraw(const core::ExecutionKey& key) override { links_.withdraw(key); }
   void probe(const std::string& worker) override { links_.probe(worker); }
-  void exclude(const std::string& worker, bool excluded) override { links_.exclude(worker, excluded); }
+  void set_excluded(const std::string& worker, bool excluded) override {
+    links_.set_excluded(worker, excluded);
+  }
 
   core::Executor& links_;
   core::Inbox& inbox_;
@@ -121,7 +123,7 @@
     std::cerr << "flawed: rejects this configuration" << std::endl;
     return 2;
   }
-  return run_program(argc, argv, [&](const Parts& parts) {
+  return run_program(argc, argv, [&](const ExtensionContext& parts) {
     return std::make_unique<FaultInjectingExtension>(parts, flaw.kind);
   });
 }
--- a/src/lab/fleet_sim.cpp
+++ b/src/lab/fleet_sim.cpp
@@ -28,7 +28,7 @@
   double weight = 1;
   bool runs_new = false;
   int pid = 1;
-  core::Figures figures;
+  core::DispatcherStats figures;
   double cpu_ms = 0;
 };
 
@@ -36,10 +36,10 @@
 
 }  // namespace
 
-FleetSimResult simulate(const FleetSim& simulation, std::uint64_t seed) {
+FleetSimResult simulate_change(const FleetSimSettings& simulation, std::uint64_t seed) {
   pcg32 random(seed);
   const auto random_share = [&] { return boost::random::uniform_real_distribution<double>(0, 1)(random); };
-  config::RolloutPart settings;
+  config::RolloutSettings settings;
   std::map<std::string, SimulatedDispatcher> dispatchers;
   double total_weight = 0;
   for (int i = 0; i < simulation.dispatchers; ++i) {
@@ -60,7 +60,7 @@
   std::map<std::string, double> traffic_by_name;
   for (const auto& [name, dispatcher] : dispatchers) traffic_by_name[name] = dispatcher.weight;
   control::order_by_traffic(settings.members, traffic_by_name);
-  rollout::Rollout rollout(control::plan_of(settings, "sim"));
+  rollout::Rollout rollout(control::make_plan(settings, "sim"));
   control::Assessor assessor(settings);
   FleetSimResult result;
   struct PendingOrder {
@@ -69,13 +69,13 @@
   };
   std::vector<PendingOrder> pending_orders;
   std::map<std::string, std::uint64_t> sent_orders;
-  const double total_rate = simulation.rate * simulation.dispatchers;
+  const double total_rate = simulation.queries_per_s * simulation.dispatchers;
   double first_new_ms = 0, total_cpu_ms = 0;
   std::size_t step_count = 0;
-  for (double now = 1'000; now < kMaxSimulatedS * 1e3 && !rollout.over() && rollout.paused().empty();
-       now += kStepMs) {
+  for (double now = 1'000;
+       now < kMaxSimulatedS * 1e3 && !rollout.finished() && rollout.pause_reason().empty(); now += kStepMs) {
     // Simulates one second of load.
-    const int outage_zone = simulation.troubles && std::fmod(now / 1e3, kOutagePeriodS) < kOutageS
+    const int outage_zone = simulation.zone_outages && std::fmod(now / 1e3, kOutagePeriodS) < kOutageS
                                 ? static_cast<int>(now / 1e3 / kOutagePeriodS) % simulation.zones
                                 : -1;
     std::map<std::string, control::Sample> samples;
@@ -84,24 +84,25 @@
       const double mean_queries = total_rate * dispatcher.weight / total_weight * (0.5 + random_share());
       for (const auto& [kind, class_share] :
            {std::pair{"receipt-check", 0.62}, std::pair{"refund-payout", 0.38}}) {
-        core::ClassFigures& figures = dispatcher.figures[kind];
+        core::ClassStats& figures = dispatcher.figures[kind];
         const int query_count =
             boost::random::poisson_distribution<int>(std::max(mean_queries * class_share, 1e-3))(random);
         const bool has_defect = dispatcher.runs_new && std::string(kind) == "refund-payout";
         for (int i = 0; i < query_count; ++i) {
-          figures.asked += 1;
+          figures.accepted += 1;
           const double outcome_draw = random_share();
           const double failed_share = in_outage ? 0.25 : 0.003, refused_share = in_outage ? 0.2 : 0.01;
           if (outcome_draw < failed_share) {
             figures.failed += 1;
           } else if (outcome_draw < failed_share + refused_share) {
             figures.refused += 1;
-          } else if (has_defect && random_share() < simulation.failed) {
+          } else if (has_defect && random_share() < simulation.failed_payout_share) {
             figures.failed += 1;
-            result.lost += 1 / total_rate;
+            result.lost_load_s += 1 / total_rate;
           } else {
             const double ms = boost::random::lognormal_distribution<double>(4, 0.7)(random) *
-                              (in_outage ? 2 : 1) * (dispatcher.runs_new ? 1 + simulation.slow : 1);
+                              (in_outage ? 2 : 1) *
+                              (dispatcher.runs_new ? 1 + simulation.latency_increase : 1);
             figures.add_served(ms, ms > 400);
           }
         }
@@ -128,31 +129,31 @@
         dispatcher.runs_new = to_new;
         if (first_new_ms == 0) first_new_ms = now;
       }
-      rollout.answered(now, order, true, {});
+      rollout.on_order_result(now, order, true, {});
     }
     const double cpu_before_ms = cpu_time_ms();
-    assessor.look(samples, rollout);
-    assessor.judge(now, rollout);
+    assessor.add_samples(samples, rollout);
+    assessor.assess(now, rollout);
     rollout.tick(now);
     total_cpu_ms += cpu_time_ms() - cpu_before_ms;
     step_count += 1;
     for (const auto& member : rollout.plan().members) {
-      const auto next_order = rollout.out(member.name);
+      const auto next_order = rollout.outstanding_order(member.name);
       if (!next_order || sent_orders[member.name] >= next_order->number) continue;
       sent_orders[member.name] = next_order->number;
-      result.orders += 1;
+      result.order_count += 1;
       pending_orders.push_back({now + 1'000 + 2'000 * random_share(), *next_order});
     }
-    result.most_on_new = std::max(result.most_on_new, rollout.on_new());
-    if (result.stopped_s == 0 && rollout.phase() == Phase::going_back)
-      result.stopped_s = (now - first_new_ms) / 1e3;
-    result.seconds = now / 1e3;
+    result.max_on_new = std::max(result.max_on_new, rollout.new_version_count());
+    if (result.rolled_back_after_s == 0 && rollout.phase() == Phase::rolling_back)
+      result.rolled_back_after_s = (now - first_new_ms) / 1e3;
+    result.duration_s = now / 1e3;
   }
-  result.outcome = rollout.phase() == Phase::complete ? "complete"
-                   : rollout.phase() == Phase::back   ? "back"
-                                                      : "paused";
-  result.reason = rollout.reason() + rollout.paused();
-  result.judge_ms = total_cpu_ms / static_cast<double>(std::max<std::size_t>(step_count, 1));
+  result.outcome = rollout.phase() == Phase::complete      ? "complete"
+                   : rollout.phase() == Phase::rolled_back ? "back"
+                                                           : "paused";
+  result.reason = rollout.rollback_reason() + rollout.pause_reason();
+  result.cpu_ms_per_step = total_cpu_ms / static_cast<double>(std::max<std::size_t>(step_count, 1));
   return result;
 }
 
--- a/src/lab/history.cpp
+++ b/src/lab/history.cpp
@@ -10,33 +10,34 @@
 
 using nlohmann::json;
 
-std::string Verdict::summary() const {
+std::string HistoryFindings::summary() const {
   std::string text = "jobs " + std::to_string(jobs) + ": finished " + std::to_string(finished) + ", failed " +
                      std::to_string(failed) + ", refused " + std::to_string(refused) + ", in doubt " +
-                     std::to_string(in_doubt) + "; payouts started twice " + std::to_string(twice) +
-                     ", unanswered " + std::to_string(unanswered) + ", changed answers " +
-                     std::to_string(changed) + ", answers that contradict the ledgers " +
-                     std::to_string(contradictions);
+                     std::to_string(in_doubt) + "; payouts started twice " +
+                     std::to_string(duplicate_payouts) + ", unanswered " + std::to_string(unanswered) +
+                     ", changed answers " + std::to_string(changed_answers) +
+                     ", answers that contradict the ledgers " + std::to_string(contradictions);
   return text;
 }
 
-Verdict judge(const std::vector<Seen>& observations, const std::vector<Entry>& ledgers) {
-  Verdict verdict;
+HistoryFindings check_history(const std::vector<ClientObservation>& observations,
+                              const std::vector<LedgerEntry>& ledgers) {
+  HistoryFindings verdict;
   std::map<std::string, int> start_counts;
   std::map<std::string, std::set<std::string>> results;
   std::set<std::string> failed;
-  for (const Entry& entry : ledgers) {
+  for (const LedgerEntry& entry : ledgers) {
     if (entry.what == "begun") start_counts[entry.key] += 1;
-    if (entry.what == "begun" && entry.once && start_counts[entry.key] == 2) {
-      verdict.twice += 1;
+    if (entry.what == "begun" && entry.at_most_once && start_counts[entry.key] == 2) {
+      verdict.duplicate_payouts += 1;
       verdict.lines.push_back(entry.key + ": started twice");
     }
     if (entry.what == "finished") results[entry.key].insert(entry.result);
     if (entry.what == "failed") failed.insert(entry.key);
   }
   std::map<std::string, bool> at_most_once_keys;
-  std::map<std::string, Seen> ends;
-  for (const Seen& observation : observations) {
+  std::map<std::string, ClientObservation> ends;
+  for (const ClientObservation& observation : observations) {
     if (observation.what == "asked") {
       at_most_once_keys[observation.key] = observation.once;
       continue;
@@ -53,7 +54,7 @@
       end->second = observation;
     } else if (end->second.status != observation.status || end->second.state != observation.state ||
                end->second.body != observation.body) {
-      verdict.changed += 1;
+      verdict.changed_answers += 1;
       verdict.lines.push_back(observation.key + ": told " + end->second.state + ", then " +
                               observation.state);
     }
@@ -84,7 +85,7 @@
   return verdict;
 }
 
-std::string line_of(const Seen& observation) {
+std::string to_json_line(const ClientObservation& observation) {
   return json({{"key", observation.key},
                {"what", observation.what},
                {"once", observation.once},
@@ -94,8 +95,8 @@
       .dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::vector<Seen> read_history(const std::string& path) {
-  std::vector<Seen> all;
+std::vector<ClientObservation> read_history(const std::string& path) {
+  std::vector<ClientObservation> all;
   std::ifstream file(path);
   for (std::string line; std::getline(file, line);) {
     const json object = json::parse(line, nullptr, false);
@@ -106,14 +107,14 @@
   return all;
 }
 
-std::string history_of(const std::string& folder) { return folder + "/history.jsonl"; }
+std::string history_path(const std::string& folder) { return folder + "/history.jsonl"; }
 
-Verdict judge_folder(const std::string& folder) {
-  std::vector<Entry> entries;
+HistoryFindings check_folder(const std::string& folder) {
+  std::vector<LedgerEntry> entries;
   for (const auto& file : std::filesystem::directory_iterator(folder))
     if (file.path().extension() == ".ledger")
-      for (Entry& entry : Ledger::read(file.path().string())) entries.push_back(std::move(entry));
-  return judge(read_history(history_of(folder)), entries);
+      for (LedgerEntry& entry : Ledger::read(file.path().string())) entries.push_back(std::move(entry));
+  return check_history(read_history(history_path(folder)), entries);
 }
 
 }  // namespace woadtide::lab
--- a/src/lab/hollow/fleet_day.hpp
+++ b/src/lab/hollow/fleet_day.hpp
@@ -29,7 +29,7 @@
 // One change of discovery's list.
 struct FleetChange {
   double at_ms = 0;  // real time since the day started
-  core::Host endpoint;
+  core::Endpoint endpoint;
 };
 
 // Returns the day's changes, ordered by time.
--- a/src/lab/hollow/hollow_dispatcher.cpp
+++ b/src/lab/hollow/hollow_dispatcher.cpp
@@ -19,32 +19,32 @@
  public:
   explicit ImmediateExecutor(core::Inbox& inbox) : inbox_(inbox) {}
   void start(core::Execution execution) override {
-    inbox_.put(core::ExecutionEnded{std::move(execution.key), woadtide::Status::ok, {}});
+    inbox_.push(core::ExecutionEnded{std::move(execution.key), woadtide::Status::ok, {}});
   }
   void cancel(const core::ExecutionKey&) override {}
   void withdraw(const core::ExecutionKey&) override {}
   void probe(const std::string& worker) override {
-    inbox_.put(core::ProbeEnded{worker, woadtide::Status::ok});
+    inbox_.push(core::ProbeEnded{worker, woadtide::Status::ok});
   }
-  void exclude(const std::string&, bool) override {}
+  void set_excluded(const std::string&, bool) override {}
 
  private:
   core::Inbox& inbox_;
 };
 
 // Stands for the absence of a sibling process.
-class NoSibling : public core::Kin {
+class NoSibling : public core::SiblingProcess {
  public:
-  void tell(const core::Word&) override {}
-  bool alone() const override { return true; }
+  void send(const core::SiblingMessage&) override {}
+  bool has_no_sibling() const override { return true; }
 };
 
 }  // namespace
 
 // The state of a dispatcher from a start to the next stop.
-struct HollowDispatcher::Instance : park::Guest {
+struct HollowDispatcher::Instance : park::EventHandler {
   Instance(HollowRuntime& shared_runtime, const HollowDispatcherSettings& settings, std::uint64_t seed,
-           const OnList& list_callback, const core::HostList& remembered)
+           const OnList& list_callback, const core::EndpointList& remembered)
       : runtime(shared_runtime),
         on_list(list_callback),
         executor(inbox),
@@ -52,27 +52,27 @@
                         shared_runtime.buffers, shared_runtime.event_loop, shared_runtime.thread_pool),
         loop(settings.settings, settings.class_names, seed, shared_runtime.clock, inbox, executor,
              endpoint_client, sibling),
-        token(shared_runtime.event_loop.enter(*this, -1)) {
-    const auto wake = [this] { runtime.event_loop.poke(token, {}); };
-    list_updates.set_owner(wake);
-    inbox.set_owner(wake);
+        token(shared_runtime.event_loop.add(*this, -1)) {
+    const auto wake = [this] { runtime.event_loop.wake(token, {}); };
+    list_updates.set_notifier(wake);
+    inbox.set_notifier(wake);
     wake();  // for messages that arrived before the notifiers were set
   }
   ~Instance() override {
-    list_updates.set_owner({});  // the thread pool may push into it until `endpoint_client` is destroyed
-    inbox.set_owner({});
-    runtime.event_loop.leave(token);
+    list_updates.set_notifier({});  // the thread pool may push into it until `endpoint_client` is destroyed
+    inbox.set_notifier({});
+    runtime.event_loop.remove(token);
     runtime.event_loop.quiesce();
   }
 
-  void ready(park::Signs) override { late(); }
-  void late() override {
-    for (core::Message& message : list_updates.take()) {
-      if (const auto* received = std::get_if<core::ListTold>(&message); received && on_list)
+  void on_ready(park::ReadinessEvents) override { on_timeout(); }
+  void on_timeout() override {
+    for (core::Message& message : list_updates.take_all()) {
+      if (const auto* received = std::get_if<core::ListUpdateReceived>(&message); received && on_list)
         on_list(received->update);
-      inbox.put(std::move(message), core::Inbox::Call::with_next);
+      inbox.push(std::move(message), core::Inbox::Notify::with_next);
     }
-    runtime.event_loop.wake_at(token, runtime.clock.now() + loop.step());
+    runtime.event_loop.set_timeout(token, runtime.clock.now() + loop.step());
   }
 
   HollowRuntime& runtime;
@@ -80,9 +80,9 @@
   core::Inbox list_updates, inbox;  // of the discovery client, observed here; of the decision loop
   ImmediateExecutor executor;
   NoSibling sibling;
-  net::HostGroup endpoint_client;
+  net::EndpointListClient endpoint_client;
   core::DecisionLoop loop;
-  park::Park::Token token;
+  park::EventLoop::Token token;
 };
 
 HollowDispatcher::HollowDispatcher(HollowRuntime& runtime, HollowDispatcherSettings settings, OnList on_list)
@@ -90,7 +90,7 @@
 
 HollowDispatcher::~HollowDispatcher() = default;
 
-void HollowDispatcher::start(const core::HostList& remembered) {
+void HollowDispatcher::start(const core::EndpointList& remembered) {
   stop();
   const std::uint64_t seed = settings_.seed + kSeedStep * start_count_++;
   instance_ = std::make_unique<Instance>(runtime_, settings_, seed, on_list_, remembered);
@@ -98,7 +98,8 @@
 
 void HollowDispatcher::stop() { instance_.reset(); }
 
-std::optional<net::HostGroup::Known> HollowDispatcher::find(const std::string& worker) const {
+std::optional<net::EndpointListClient::ResolvedEndpoint> HollowDispatcher::find(
+    const std::string& worker) const {
   return instance_ ? instance_->endpoint_client.find(worker) : std::nullopt;
 }
 
--- a/src/lab/hollow/hollow_dispatcher.hpp
+++ b/src/lab/hollow/hollow_dispatcher.hpp
@@ -26,12 +26,12 @@
       : clock(shared_clock),
         buffers(kBufferCount),
         event_loop(shared_clock),
-        thread_pool({.most = kThreadCount}) {}
+        thread_pool({.max_threads = kThreadCount}) {}
 
   core::Clock& clock;
   net::BufferPool buffers;
-  park::Park event_loop;
-  park::Crew thread_pool;
+  park::EventLoop event_loop;
+  park::ThreadPool thread_pool;
 };
 
 // Settings of one hollow dispatcher.
@@ -54,11 +54,11 @@
   HollowDispatcher& operator=(const HollowDispatcher&) = delete;
 
   // Starts or restarts the dispatcher with a remembered list.
-  void start(const core::HostList& remembered);
+  void start(const core::EndpointList& remembered);
   void stop();
   bool is_running() const { return instance_ != nullptr; }
   // The worker's entry in the newest list; nullopt if it has none or the dispatcher is stopped.
-  std::optional<net::HostGroup::Known> find(const std::string& worker) const;
+  std::optional<net::EndpointListClient::ResolvedEndpoint> find(const std::string& worker) const;
 
  private:
   struct Instance;
--- a/src/lab/hollow/hollow_fleet.cpp
+++ b/src/lab/hollow/hollow_fleet.cpp
@@ -37,7 +37,8 @@
   settings.classes = {class_settings(woadtide::Effect::safe), class_settings(woadtide::Effect::unsafe)};
   settings.list_on_request = true;
   settings.must_ask_within = core::to_micros(fleet.must_ask_within_ms);
-  settings.list_binds_after = core::to_micros(core::kToldWithinMs);  // the value that core::read_config sets
+  settings.list_binds_after =
+      core::to_micros(core::kUpdateBindsAfterMs);  // the value that core::read_config sets
   settings.max_attempts = 4;
   settings.max_retry_after = 2s;
   return settings;
@@ -45,15 +46,16 @@
 
 }  // namespace
 
-core::Host HollowFleet::worker_endpoint(std::size_t number, woadtide::WorkerState state, double started_ms) {
-  core::Host endpoint;
+core::Endpoint HollowFleet::worker_endpoint(std::size_t number, woadtide::WorkerState state,
+                                            double started_ms) {
+  core::Endpoint endpoint;
   endpoint.entry.worker = "worker-" + std::to_string(number);
   endpoint.entry.zone = zone_of(number);
   endpoint.entry.kind = "m2";
   endpoint.entry.cell = static_cast<std::int64_t>(number % kCellCount);
   endpoint.entry.state = state;
   if (started_ms > 0) endpoint.entry.started = core::to_micros(std::floor(started_ms));
-  endpoint.dial = "127.0.0.1:" + std::to_string(kFirstPort + static_cast<int>(number) % kPortCount);
+  endpoint.address = "127.0.0.1:" + std::to_string(kFirstPort + static_cast<int>(number) % kPortCount);
   return endpoint;
 }
 
@@ -75,7 +77,7 @@
   }
 }
 
-void HollowFleet::start(std::size_t dispatcher, const core::HostList& remembered) {
+void HollowFleet::start(std::size_t dispatcher, const core::EndpointList& remembered) {
   dispatchers_.at(dispatcher)->stop();
   source_.stop_client(dispatcher);
   source_.start_client(dispatcher, remembered.seq);
--- a/src/lab/hollow/hollow_fleet.hpp
+++ b/src/lab/hollow/hollow_fleet.hpp
@@ -35,12 +35,13 @@
   ListSource& source() { return source_; }
   HollowDispatcher& dispatcher(std::size_t number) { return *dispatchers_.at(number); }
   // Starts or restarts a dispatcher with a remembered list.
-  void start(std::size_t dispatcher, const core::HostList& remembered);
+  void start(std::size_t dispatcher, const core::EndpointList& remembered);
   // Number of event loops with their thread pools.
   std::size_t runtime_count() const { return runtimes_.size(); }
 
   // A worker's entry on the list. `started_ms`: Unix time in ms, rounded down to whole ms; 0: no start time.
-  static core::Host worker_endpoint(std::size_t number, woadtide::WorkerState state, double started_ms = 0);
+  static core::Endpoint worker_endpoint(std::size_t number, woadtide::WorkerState state,
+                                        double started_ms = 0);
 
  private:
   const std::size_t workers_;
--- a/src/lab/hollow/hollow_run.cpp
+++ b/src/lab/hollow/hollow_run.cpp
@@ -156,15 +156,16 @@
 
   // Number of dispatchers whose list equals discovery's.
   std::size_t count_up_to_date() {
-    std::map<std::string, core::Host> listed;
-    const core::HostList list = source().snapshot();
-    for (const core::Host& endpoint : list.hosts) listed.emplace(endpoint.entry.worker, endpoint);
+    std::map<std::string, core::Endpoint> listed;
+    const core::EndpointList list = source().snapshot();
+    for (const core::Endpoint& endpoint : list.endpoints) listed.emplace(endpoint.entry.worker, endpoint);
     std::size_t up_to_date = 0;
     for (std::size_t i = 0; i < fleet_->size(); ++i) up_to_date += has_list(fleet_->dispatcher(i), listed);
     return up_to_date;
   }
 
-  bool has_list(const HollowDispatcher& dispatcher, const std::map<std::string, core::Host>& listed) const {
+  bool has_list(const HollowDispatcher& dispatcher,
+                const std::map<std::string, core::Endpoint>& listed) const {
     for (std::size_t i = 0; i < fleet_->worker_count(); ++i) {
       const std::string worker = HollowFleet::worker_endpoint(i, woadtide::WorkerState::ready).entry.worker;
       const auto actual = dispatcher.find(worker);
--- a/src/lab/hollow/list_source.cpp
+++ b/src/lab/hollow/list_source.cpp
@@ -58,14 +58,14 @@
 }  // namespace
 
 // Listener on the address of one client.
-struct ListSource::Listener : park::Guest {
+struct ListSource::Listener : park::EventHandler {
   Listener(ListSource& at, std::size_t of, net::Socket from)
       : source(at), client(of), socket(std::move(from)) {}
-  void ready(park::Signs) override {
+  void on_ready(park::ReadinessEvents) override {
     const std::lock_guard lock(source.mutex_);
     source.accept_pending(*this);
   }
-  void late() override {}
+  void on_timeout() override {}
 
   ListSource& source;
   const std::size_t client;
@@ -73,18 +73,18 @@
 };
 
 // One call, and the watch that it becomes once answered.
-struct ListSource::Connection : park::Guest {
+struct ListSource::Connection : park::EventHandler {
   enum class State { reading, waiting, watching, closing };
 
   Connection(ListSource& at, std::size_t of, CallQueue::CallId as, net::Socket from)
       : source(at), client(of), id(as), socket(std::move(from)) {}
-  void ready(park::Signs signs) override {
+  void on_ready(park::ReadinessEvents signs) override {
     const std::lock_guard lock(source.mutex_);
     if (!source.connections_.contains(id)) return;
     if (signs.writable) source.flush(*this);
     if (signs.readable || signs.closed) source.read_available(*this);
   }
-  void late() override {
+  void on_timeout() override {
     const std::lock_guard lock(source.mutex_);
     if (source.connections_.contains(id)) source.send_empty_line(*this);
   }
@@ -93,7 +93,7 @@
   const std::size_t client;
   const CallQueue::CallId id;
   net::Socket socket;
-  park::Park::Token token = park::Park::kNone;
+  park::EventLoop::Token token = park::EventLoop::kNoToken;
   State state = State::reading;
   std::string request;
   std::int64_t since = 0;         // the version that the client said it has
@@ -104,10 +104,10 @@
 };
 
 // Handles timed events: outcomes of calls, and outages.
-struct ListSource::Timer : park::Guest {
+struct ListSource::Timer : park::EventHandler {
   explicit Timer(ListSource& of) : source(of) {}
-  void ready(park::Signs) override { late(); }
-  void late() override {
+  void on_ready(park::ReadinessEvents) override { on_timeout(); }
+  void on_timeout() override {
     const std::lock_guard lock(source.mutex_);
     source.process_due_events();
     source.publish_changes();
@@ -125,8 +125,8 @@
       queue_(settings_.calls),
       timer_(std::make_shared<Timer>(*this)),
       event_loop_(clock) {
-  timer_token_ = event_loop_.enter(timer_, -1);
-  event_loop_.poke(timer_token_, {});
+  timer_token_ = event_loop_.add(timer_, -1);
+  event_loop_.wake(timer_token_, {});
 }
 
 ListSource::~ListSource() = default;
@@ -138,7 +138,7 @@
   const std::size_t number = clients_.size();
   const auto listener = std::make_shared<Listener>(*this, number, std::move(socket));
   clients_.push_back({listener, {}, 0});
-  event_loop_.enter(listener, listener->socket.fd());
+  event_loop_.add(listener, listener->socket.fd());
   return number;
 }
 
@@ -158,15 +158,15 @@
   close_watches([client](const Connection& connection) { return connection.client == client; });
 }
 
-std::int64_t ListSource::set(const core::Host& host) {
+std::int64_t ListSource::set(const core::Endpoint& host) {
   const std::lock_guard lock(mutex_);
   const std::int64_t version = list_.set(host);
   lateness_.add_change(std::max(clock_.now(), outage_until_ms_));
-  event_loop_.poke(timer_token_, {});
+  event_loop_.wake(timer_token_, {});
   return version;
 }
 
-core::HostList ListSource::snapshot() const {
+core::EndpointList ListSource::snapshot() const {
   const std::lock_guard lock(mutex_);
   return list_.snapshot();
 }
@@ -174,7 +174,7 @@
 void ListSource::start_outage(double length_ms) {
   const std::lock_guard lock(mutex_);
   begin_outage(clock_.now(), length_ms);
-  event_loop_.poke(timer_token_, {});
+  event_loop_.wake(timer_token_, {});
 }
 
 bool ListSource::is_up() const {
@@ -228,7 +228,7 @@
     const CallQueue::CallId id = next_id_++;
     const auto connection = std::make_shared<Connection>(*this, listener.client, id, std::move(socket));
     connections_.emplace(id, connection);
-    connection->token = event_loop_.enter(connection, connection->socket.fd());
+    connection->token = event_loop_.add(connection, connection->socket.fd());
   }
 }
 
@@ -237,9 +237,9 @@
   std::array<char, 2'048> bytes{};
   for (;;) {
     std::size_t received_bytes = 0;
-    const net::Io io = connection.socket.receive(bytes.data(), bytes.size(), received_bytes);
-    if (io == net::Io::late) return;
-    if (io != net::Io::done) break;
+    const net::IoResult io = connection.socket.receive(bytes.data(), bytes.size(), received_bytes);
+    if (io == net::IoResult::timed_out) return;
+    if (io != net::IoResult::done) break;
     clients_[connection.client].traffic.request_bytes += received_bytes;
     if (connection.state != Connection::State::reading) continue;
     connection.request.append(bytes.data(), received_bytes);
@@ -263,7 +263,7 @@
   process_due_events();
   queue_.add_call(connection.id, clock_.now(),
                   [this, since = connection.since] { return list_.entries_since(since); });
-  event_loop_.poke(timer_token_, {});
+  event_loop_.wake(timer_token_, {});
 }
 
 void ListSource::send_answer(Connection& connection) {
@@ -287,7 +287,7 @@
 bool ListSource::is_cut(std::size_t client) {
   const int line = clients_[client].lines++;
   const std::string name = std::to_string(settings_.seed) + ' ' + std::to_string(client);
-  return woadtide::draw_of(name, line) <= settings_.cut_share;
+  return woadtide::stable_draw(name, line) <= settings_.cut_share;
 }
 
 std::shared_ptr<const std::string> ListSource::chunk_since(std::int64_t version, std::size_t& entries) {
@@ -317,7 +317,7 @@
     counts_.lines += 1;
     counts_.entries += entries;
     connection.output.push_back({chunk, list_.version(), false});
-    event_loop_.wake_at(connection.token, connection.last_line_at_ms + kEmptyLineMs);
+    event_loop_.set_timeout(connection.token, connection.last_line_at_ms + kEmptyLineMs);
   }
   flush(connection);
 }
@@ -325,9 +325,9 @@
 void ListSource::send_empty_line(Connection& connection) {
   if (connection.state != Connection::State::watching) return;
   const double due_ms = connection.last_line_at_ms + kEmptyLineMs;
-  if (clock_.now() < due_ms) return event_loop_.wake_at(connection.token, due_ms);
+  if (clock_.now() < due_ms) return event_loop_.set_timeout(connection.token, due_ms);
   connection.last_line_at_ms = clock_.now();
-  event_loop_.wake_at(connection.token, connection.last_line_at_ms + kEmptyLineMs);
+  event_loop_.set_timeout(connection.token, connection.last_line_at_ms + kEmptyLineMs);
   if (!connection.output.empty()) return;  // the client has not read the previous output
   static const auto text = std::make_shared<const std::string>(kEmptyLine);
   counts_.empty_lines += 1;
@@ -340,7 +340,7 @@
   while (!connection.output.empty()) {
     const OutputItem& item = connection.output.front();
     const std::string_view unsent = std::string_view(*item.text).substr(connection.output_offset);
-    const std::size_t sent = connection.socket.send_some({unsent});
+    const std::size_t sent = connection.socket.send_available({unsent});
     ClientTraffic& traffic = clients_[connection.client].traffic;
     (item.is_empty_line ? traffic.empty_bytes : traffic.list_bytes) += sent;
     counts_.bytes += sent;
@@ -360,7 +360,7 @@
 void ListSource::close(CallQueue::CallId id) {
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
-  event_loop_.leave(found->second->token);
+  event_loop_.remove(found->second->token);
   connections_.erase(found);
 }
 
@@ -410,7 +410,7 @@
   if (next_outage_ < settings_.outages.size())
     next_ms = std::min(next_ms, started_at_ms_ + settings_.outages[next_outage_].start_ms);
   if (outage_until_ms_ > 0) next_ms = std::min(next_ms, outage_until_ms_);
-  event_loop_.wake_at(timer_token_, next_ms);
+  event_loop_.set_timeout(timer_token_, next_ms);
 }
 
 // Sends new changes to all watches without pending output; flush() continues the others once theirs is sent.
--- a/src/lab/hollow/list_source.hpp
+++ b/src/lab/hollow/list_source.hpp
@@ -80,9 +80,9 @@
   void stop_client(std::size_t client);
 
   // Changes one worker and sends the change to open watches at once. Returns the new version.
-  std::int64_t set(const core::Host& host);
+  std::int64_t set(const core::Endpoint& host);
   // The current complete list.
-  core::HostList snapshot() const;
+  core::EndpointList snapshot() const;
 
   // Starts an outage now: closes open watches; calls are refused until it ends.
   void start_outage(double length_ms);
@@ -157,8 +157,8 @@
   std::int64_t chunk_cache_version_ = 0;
   std::atomic<double> cpu_ms_{0};
   std::shared_ptr<Timer> timer_;
-  park::Park::Token timer_token_ = park::Park::kNone;
-  park::Park event_loop_;  // last: its thread uses all other members
+  park::EventLoop::Token timer_token_ = park::EventLoop::kNoToken;
+  park::EventLoop event_loop_;  // last: its thread uses all other members
 };
 
 }  // namespace woadtide::lab::hollow
--- a/src/lab/hollow/versioned_list.cpp
+++ b/src/lab/hollow/versioned_list.cpp
@@ -24,11 +24,11 @@
   return "Gone";
 }
 
-std::string entry_json(const core::Host& endpoint) {
+std::string entry_json(const core::Endpoint& endpoint) {
   const woadtide::ListEntry& entry = endpoint.entry;
   nlohmann::ordered_json object;
   object["host"] = entry.worker;
-  object["dial"] = endpoint.dial;
+  object["dial"] = endpoint.address;
   object["site"] = entry.zone;
   object["class"] = entry.kind;
   object["block"] = entry.cell;
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-std::int64_t VersionedList::set(const core::Host& endpoint) {
+std::int64_t VersionedList::set(const core::Endpoint& endpoint) {
   const std::string& worker = endpoint.entry.worker;
   const auto previous = entries_.find(worker);
   const bool was_listed =
@@ -101,10 +101,10 @@
   return line;
 }
 
-core::HostList VersionedList::snapshot() const {
-  core::HostList list{version_, true, {}};
+core::EndpointList VersionedList::snapshot() const {
+  core::EndpointList list{version_, true, {}};
   for (const auto& [worker, entry] : entries_)
-    if (entry.endpoint.entry.state != WorkerState::gone) list.hosts.push_back(entry.endpoint);
+    if (entry.endpoint.entry.state != WorkerState::gone) list.endpoints.push_back(entry.endpoint);
   return list;
 }
 
--- a/src/lab/hollow/versioned_list.hpp
+++ b/src/lab/hollow/versioned_list.hpp
@@ -27,7 +27,7 @@
   explicit VersionedList(std::size_t history_limit) : history_limit_(history_limit) {}
 
   // Adds or replaces the worker's entry; WorkerState::gone removes it. Returns the new version.
-  std::int64_t set(const core::Host& endpoint);
+  std::int64_t set(const core::Endpoint& endpoint);
   std::int64_t version() const { return version_; }
   // Number of listed workers.
   std::size_t size() const { return listed_count_; }
@@ -40,11 +40,11 @@
   // the history does not reach back that far, or `version` is newer than this list.
   ListLine line_since(std::int64_t version) const;
   // The current complete list, in the form in which a dispatcher remembers it.
-  core::HostList snapshot() const;
+  core::EndpointList snapshot() const;
 
  private:
   struct Entry {
-    core::Host endpoint;
+    core::Endpoint endpoint;
     std::string text;
     std::int64_t changed_at = 0;  // version of its last change
   };
--- a/src/lab/job_client.hpp
+++ b/src/lab/job_client.hpp
@@ -12,7 +12,7 @@
 namespace woadtide::lab {
 
 // An answer of the dispatcher; `state` is the value of X-Job-State.
-struct Heard {
+struct JobResponse {
   int status = 0;
   std::string state, body;
   double retry_after_ms = 0;
@@ -25,14 +25,14 @@
 
   // Sends a request over the open link or a new one. Returns nullopt if the link failed or the deadline
   // passed.
-  std::optional<Heard> call(const std::string& request, double deadline_ms);
+  std::optional<JobResponse> send_request(const std::string& request, double deadline_ms);
   // Submits a job.
-  std::optional<Heard> put(const std::string& key, bool once, const std::string& body, double budget_ms,
-                           double deadline_ms);
+  std::optional<JobResponse> submit(const std::string& key, bool once, const std::string& body,
+                                    double budget_ms, double deadline_ms);
   // Asks for the state of a job; the dispatcher may wait up to `wait_ms` for its end.
-  std::optional<Heard> get(const std::string& key, double wait_ms, double deadline_ms);
+  std::optional<JobResponse> get_state(const std::string& key, double wait_ms, double deadline_ms);
   // Submits a job and follows it to its final answer or the end of the budget.
-  Seen bring(const std::string& key, bool once, const std::string& body, double budget_ms);
+  ClientObservation run_job(const std::string& key, bool once, const std::string& body, double budget_ms);
   double now() const { return clock_.now(); }
 
  private:
--- a/src/lab/ledger.cpp
+++ b/src/lab/ledger.cpp
@@ -32,13 +32,13 @@
 
 Ledger::~Ledger() { ::close(fd_); }
 
-void Ledger::add(const Entry& entry) {
+void Ledger::add(const LedgerEntry& entry) {
   const std::string line = json({{"key", entry.key},
                                  {"what", entry.what},
                                  {"epoch", entry.epoch},
-                                 {"once", entry.once},
+                                 {"once", entry.at_most_once},
                                  {"result", entry.result},
-                                 {"via", entry.via},
+                                 {"via", entry.called_address},
                                  {"at_ms", core::Clock().now()}})
                                .dump() +
                            '\n';
@@ -47,8 +47,8 @@
     throw std::runtime_error("the ledger cannot be written");
 }
 
-std::vector<Entry> Ledger::read(const std::string& path) {
-  std::vector<Entry> entries;
+std::vector<LedgerEntry> Ledger::read(const std::string& path) {
+  std::vector<LedgerEntry> entries;
   std::ifstream file(path);
   for (std::string line; std::getline(file, line);) {
     const json object = json::parse(line, nullptr, false);
--- a/src/lab/ledger.hpp
+++ b/src/lab/ledger.hpp
@@ -11,14 +11,14 @@
 namespace woadtide::lab {
 
 // One line of a ledger.
-struct Entry {
+struct LedgerEntry {
   std::string key;
   std::string what;  // "begun", "finished", "failed", "fence"
   std::uint64_t epoch = 0;
-  bool once = false;
+  bool at_most_once = false;
   std::string result = {};
-  std::string via = {};  // address under which the worker was called
-  double at_ms = 0;      // on the machine's clock; only set in entries that were read
+  std::string called_address = {};  // address under which the worker was called
+  double at_ms = 0;                 // on the machine's clock; only set in entries that were read
 };
 
 // Append-only ledger file. Thread-safe.
@@ -32,10 +32,10 @@
 
   const std::string& id() const { return id_; }
   // Appends an entry in a single write(). Throws std::runtime_error if that fails.
-  void add(const Entry& entry);
+  void add(const LedgerEntry& entry);
 
   // Returns the complete entries of a file; none if it does not exist.
-  static std::vector<Entry> read(const std::string& path);
+  static std::vector<LedgerEntry> read(const std::string& path);
 
  private:
   std::string id_;
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -27,16 +27,16 @@
 namespace lab = woadtide::lab;
 
 int run_worker(int port, const std::string& ledger_path, bool answers, bool steady) {
-  lab::Worker worker(port, ledger_path, answers, [steady](const lab::Begun& begun) {
+  lab::TestWorker worker(port, ledger_path, answers, [steady](const lab::ExecutionRequest& begun) {
     // The behaviour depends on the key alone, so that it does not matter which worker gets the execution.
     const std::size_t hash = std::hash<std::string>()(begun.key);
-    lab::Plan execution;
-    execution.run_ms = static_cast<double>(steady ? 5 + hash % 26 : 2 + hash % 60);
+    lab::ExecutionPlan execution;
+    execution.duration_ms = static_cast<double>(steady ? 5 + hash % 26 : 2 + hash % 60);
     if (steady) return execution;
-    execution.heartbeat_ms = hash % 3 == 0 ? 10 : 0;
-    if (hash % 97 == 0) execution.run_ms = 900;  // longer than a lease, with or without heartbeats
-    if (hash % 41 == 0) execution.end = lab::Plan::End::failed;
-    if (hash % 43 == 0) execution.end = lab::Plan::End::refuse;
+    execution.heartbeat_interval_ms = hash % 3 == 0 ? 10 : 0;
+    if (hash % 97 == 0) execution.duration_ms = 900;  // longer than a lease, with or without heartbeats
+    if (hash % 41 == 0) execution.outcome = lab::ExecutionPlan::Outcome::failed;
+    if (hash % 43 == 0) execution.outcome = lab::ExecutionPlan::Outcome::refuse;
     return execution;
   });
   for (;;) ::poll(nullptr, 0, 1'000);
@@ -56,19 +56,19 @@
 }
 
 // Simulates the same change with several seeds and prints outcomes and medians.
-int run_fleet(const lab::FleetSim& simulation, std::uint64_t seed, int count) {
+int run_fleet(const lab::FleetSimSettings& simulation, std::uint64_t seed, int count) {
   std::vector<double> seconds, stopped_s, lost_s, max_on_new, cpu_ms;
   std::map<std::string, int> outcomes;
   for (int i = 0; i < count; ++i) {
-    const lab::FleetSimResult result = lab::simulate(simulation, seed + static_cast<std::uint64_t>(i));
+    const lab::FleetSimResult result = lab::simulate_change(simulation, seed + static_cast<std::uint64_t>(i));
     outcomes[result.outcome] += 1;
     if (!result.reason.empty())
       std::cout << "  seed " << seed + static_cast<std::uint64_t>(i) << ": " << result.reason << '\n';
-    seconds.push_back(result.seconds);
-    if (result.stopped_s > 0) stopped_s.push_back(result.stopped_s);
-    lost_s.push_back(result.lost);
-    max_on_new.push_back(result.most_on_new);
-    cpu_ms.push_back(result.judge_ms);
+    seconds.push_back(result.duration_s);
+    if (result.rolled_back_after_s > 0) stopped_s.push_back(result.rolled_back_after_s);
+    lost_s.push_back(result.lost_load_s);
+    max_on_new.push_back(result.max_on_new);
+    cpu_ms.push_back(result.cpu_ms_per_step);
   }
   const auto median = [](std::vector<double> values) {
     if (values.empty()) return 0.0;
@@ -78,7 +78,8 @@
   };
   std::cout << simulation.dispatchers << " dispatchers, stages";
   for (const int stage : simulation.stages) std::cout << ' ' << stage;
-  std::cout << ", fails " << simulation.failed << ", slower " << simulation.slow << ":";
+  std::cout << ", fails " << simulation.failed_payout_share << ", slower " << simulation.latency_increase
+            << ":";
   for (const auto& [outcome, number] : outcomes) std::cout << ' ' << outcome << ' ' << number;
   std::cout << "; ends at " << median(seconds) << " s, rolled back after " << median(stopped_s)
             << " s, most on the new version " << median(max_on_new) << ", lost " << median(lost_s)
@@ -122,7 +123,7 @@
       old_program, new_program;
   lab::CrashSettings crash_settings;
   int port = 0, count = 1;
-  lab::FleetSim simulation;
+  lab::FleetSimSettings simulation;
   lab::scale::CommandOptions scale;
   bool no_inquiries = false, no_faults = false, steady = false;
   options::options_description visible_options("Options");
@@ -159,9 +160,9 @@
                                 "fleet: number of dispatchers")(
       "stages", options::value(&simulation.stages)->multitoken(),
       "fleet: number of changed dispatchers after each stage")(
-      "fails", options::value(&simulation.failed),
+      "fails", options::value(&simulation.failed_payout_share),
       "fleet: additional share of payouts that fail on the new version")(
-      "slower", options::value(&simulation.slow), "fleet: relative increase of its latency")(
+      "slower", options::value(&simulation.latency_increase), "fleet: relative increase of its latency")(
       "bake", options::value(&simulation.bake_s), "fleet: minimum duration of a stage, s")(
       "margin", options::value(&simulation.margin), "fleet: non-inferiority margin")(
       "part", options::value(&scale.part), "scale: part to sweep; an unknown name lists all parts")(
@@ -208,7 +209,7 @@
   if (command == "registry") lab::cluster::run_registry(plan_path, record_path);
   if (command == "clients") return lab::cluster::run_clients(plan_path, dispatcher, record_path), 0;
   if (command == "check") {
-    const lab::Verdict findings = lab::judge_folder(crash_settings.folder);
+    const lab::HistoryFindings findings = lab::check_folder(crash_settings.folder);
     std::cout << findings.summary() << '\n';
     for (const std::string& line : findings.lines) std::cout << "  " << line << '\n';
     return findings.good() ? 0 : 1;
@@ -241,7 +242,7 @@
     return sweep.verdict.good() && sweep.verdict.lines.empty() ? 0 : 1;
   }
   const auto report = lab::run_crash_test(crash_settings, lab_program);
-  const lab::Verdict& findings = report.verdict;
+  const lab::HistoryFindings& findings = report.verdict;
   std::cout << findings.summary() << "\nkills: dispatcher " << report.dispatcher_kills
             << ", within its store " << report.store_kills << ", worker " << report.worker_kills << ", both "
             << report.both_kills << "; workers started empty " << report.emptied_workers << "; upgrades "
--- a/src/lab/process.cpp
+++ b/src/lab/process.cpp
@@ -13,8 +13,8 @@
 
 namespace woadtide::lab {
 
-Process::Process(const std::vector<std::string>& arguments,
-                 const std::map<std::string, std::string>& environment, const std::string& log) {
+ChildProcess::ChildProcess(const std::vector<std::string>& arguments,
+                           const std::map<std::string, std::string>& environment, const std::string& log) {
   std::vector<char*> argv, envp;
   for (const std::string& word : arguments) argv.push_back(const_cast<char*>(word.c_str()));
   argv.push_back(nullptr);
@@ -36,21 +36,21 @@
   }
 }
 
-Process::Process(Process&& other) noexcept : pid_(std::exchange(other.pid_, -1)) {}
+ChildProcess::ChildProcess(ChildProcess&& other) noexcept : pid_(std::exchange(other.pid_, -1)) {}
 
-Process& Process::operator=(Process&& other) noexcept {
+ChildProcess& ChildProcess::operator=(ChildProcess&& other) noexcept {
   kill();
   pid_ = std::exchange(other.pid_, -1);
   return *this;
 }
 
-void Process::kill() {
+void ChildProcess::kill() {
   if (pid_ <= 0) return;
   ::kill(pid_, SIGKILL);
   ::waitpid(std::exchange(pid_, -1), nullptr, 0);
 }
 
-int Process::end() {
+int ChildProcess::terminate() {
   int status = 0;
   if (pid_ <= 0) return status;
   ::kill(pid_, SIGTERM);
@@ -58,7 +58,7 @@
   return status;
 }
 
-std::optional<int> Process::ended() {
+std::optional<int> ChildProcess::poll_exit() {
   int status = 0;
   if (pid_ <= 0 || ::waitpid(pid_, &status, WNOHANG) != pid_) return std::nullopt;
   pid_ = -1;
--- a/src/lab/process.hpp
+++ b/src/lab/process.hpp
@@ -11,24 +11,24 @@
 namespace woadtide::lab {
 
 // A child process.
-class Process {
+class ChildProcess {
  public:
-  Process() = default;
+  ChildProcess() = default;
   // Starts arguments[0] with the current environment and additional variables. Standard output and error are
   // appended to `log`. Throws std::system_error.
-  Process(const std::vector<std::string>& arguments, const std::map<std::string, std::string>& environment,
-          const std::string& log);
-  ~Process() { kill(); }
-  Process(Process&& other) noexcept;
-  Process& operator=(Process&& other) noexcept;
+  ChildProcess(const std::vector<std::string>& arguments,
+               const std::map<std::string, std::string>& environment, const std::string& log);
+  ~ChildProcess() { kill(); }
+  ChildProcess(ChildProcess&& other) noexcept;
+  ChildProcess& operator=(ChildProcess&& other) noexcept;
 
   // Sends SIGKILL and waits for the exit.
   void kill();
   // Sends SIGTERM and waits for the exit. Returns the status of waitpid.
-  int end();
+  int terminate();
   // Returns the status of waitpid if the process has exited by itself.
-  std::optional<int> ended();
-  bool alive() const { return pid_ > 0; }
+  std::optional<int> poll_exit();
+  bool is_running() const { return pid_ > 0; }
   pid_t pid() const { return pid_; }
 
  private:
--- a/src/lab/scale/change_harness.cpp
+++ b/src/lab/scale/change_harness.cpp
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-config::RolloutPart rollout_settings(int members) {
-  config::RolloutPart settings;
+config::RolloutSettings rollout_settings(int members) {
+  config::RolloutSettings settings;
   for (int i = 0; i < members; ++i)
     settings.members.push_back(
         {format_number("dispatcher-%04d", i), format_number("zone-%02d", i % kZoneCount), "127.0.0.1:8400"});
@@ -37,7 +37,7 @@
 
 ChangeHarness::ChangeHarness(int members, std::uint64_t seed)
     : settings_(rollout_settings(members)),
-      rollout_(control::plan_of(settings_, "change-1")),
+      rollout_(control::make_plan(settings_, "change-1")),
       assessor_(settings_),
       random_(seed) {
   for (const auto& member : settings_.members) {
@@ -50,9 +50,9 @@
 }
 
 void ChangeHarness::acknowledge_orders() {
-  for (const Order& order : rollout_.outstanding()) {
+  for (const Order& order : rollout_.outstanding_orders()) {
     if (order.kind == Order::Kind::move) members_on_new_version_.insert(order.member);
-    rollout_.answered(now_ms_, order, true, {});
+    rollout_.on_order_result(now_ms_, order, true, {});
   }
 }
 
@@ -69,7 +69,7 @@
     for (auto& [class_name, stats] : sample.classes)
       for (int i = 0; i < kRequestsPerSecond; ++i) {
         const double uniform = static_cast<double>(random_() >> 11) * 0x1p-53;
-        stats.asked += 1;
+        stats.accepted += 1;
         stats.add_served(kMinLatencyMs + uniform * (kMaxLatencyMs - kMinLatencyMs), false);
       }
   }
@@ -77,9 +77,9 @@
 
 void ChangeHarness::run_turn() {
   for (const auto& member : settings_.members)
-    rollout_.found(now_ms_, member.name, true, members_on_new_version_.contains(member.name));
-  assessor_.look(samples_, rollout_);
-  assessor_.judge(now_ms_, rollout_);
+    rollout_.on_member_status(now_ms_, member.name, true, members_on_new_version_.contains(member.name));
+  assessor_.add_samples(samples_, rollout_);
+  assessor_.assess(now_ms_, rollout_);
   rollout_.tick(now_ms_);
 }
 
@@ -92,6 +92,8 @@
   return members_on_new_version_.size() - before;
 }
 
-void ChangeHarness::approve_stage() { rollout_.judged(now_ms_, rollout::Word::not_worse, {}); }
+void ChangeHarness::approve_stage() {
+  rollout_.on_assessment(now_ms_, rollout::StageAssessment::not_worse, {});
+}
 
 }  // namespace woadtide::lab::scale
--- a/src/lab/scale/change_harness.hpp
+++ b/src/lab/scale/change_harness.hpp
@@ -16,7 +16,7 @@
 namespace woadtide::lab::scale {
 
 // Rollout settings with this many members, spread over zones, without observation or soak times.
-config::RolloutPart rollout_settings(int members);
+config::RolloutSettings rollout_settings(int members);
 
 // Drives one rollout step by step on a simulated clock. Deterministic for a given seed.
 class ChangeHarness {
@@ -44,7 +44,7 @@
   // Acknowledges every outstanding order as done.
   void acknowledge_orders();
 
-  config::RolloutPart settings_;
+  config::RolloutSettings settings_;
   rollout::Rollout rollout_;
   control::Assessor assessor_;
   std::map<std::string, control::Sample> samples_;
--- a/src/lab/scale/controller_part.cpp
+++ b/src/lab/scale/controller_part.cpp
@@ -48,9 +48,9 @@
     }
     const double kb_per_turn = (live_heap_kb() - start_kb) / turns;
     std::string state;
-    for (int i = 0; i < turns; ++i) text_samples.measure([&] { state = fleet.rollout().text(); });
+    for (int i = 0; i < turns; ++i) text_samples.measure([&] { state = fleet.rollout().serialize(); });
     change_samples.measure([&] {
-      while (!fleet.rollout().over()) {
+      while (!fleet.rollout().finished()) {
         fleet.move_allowed_members();
         fleet.approve_stage();
       }
@@ -93,15 +93,15 @@
   std::vector<int> sizes{10, 30, 100, 300, 1'000, 3'000};
   if (settings.small) sizes = {10, 20, 40};
   for (const int members : sizes) {
-    config::RolloutPart part = rollout_settings(members);
+    config::RolloutSettings part = rollout_settings(members);
     for (auto& member : part.members) member.control = supervisors.address();
     EventSamples call_samples;
     std::vector<double> reached_counts;
     for (int i = 0; i < (settings.small ? 2 : 8); ++i) {
-      std::vector<control::Standing> standings;
-      call_samples.measure([&] { standings = control::ask_all(part, kCallTimeoutMs); });
+      std::vector<control::SupervisorStatus> standings;
+      call_samples.measure([&] { standings = control::query_supervisors(part, kCallTimeoutMs); });
       double count = 0;
-      for (const control::Standing& standing : standings) count += standing.reached;
+      for (const control::SupervisorStatus& standing : standings) count += standing.reached;
       reached_counts.push_back(count);
     }
     status_calls.add(members, call_samples);
@@ -148,11 +148,12 @@
 
 // The largest statistics of one dispatcher: two classes, with responses in each latency bin.
 void add_stats_size(Report& report) {
-  core::Figures stats;
+  core::DispatcherStats stats;
   for (const char* name : {"receipt-check", "refund-payout"})
-    for (std::size_t bin = 0; bin < core::kBins; ++bin) stats[name].add_served(core::top_of(bin), false);
+    for (std::size_t bin = 0; bin < core::kLatencyBinCount; ++bin)
+      stats[name].add_served(core::latency_bin_limit_ms(bin), false);
   report.facts.push_back({"one dispatcher's figures, two classes, all bins in use",
-                          static_cast<double>(core::text_of(stats).size()), "bytes"});
+                          static_cast<double>(core::serialize(stats).size()), "bytes"});
 }
 
 }  // namespace
--- a/src/lab/scale/list_client_harness.hpp
+++ b/src/lab/scale/list_client_harness.hpp
@@ -15,9 +15,9 @@
 namespace woadtide::lab::scale {
 
 // A complete list of this many workers.
-core::HostList endpoint_list(int workers);
+core::EndpointList endpoint_list(int workers);
 // A change of one worker, `number`, to this state.
-core::HostList endpoint_change(int number, std::int64_t sequence, woadtide::WorkerState state);
+core::EndpointList endpoint_change(int number, std::int64_t sequence, woadtide::WorkerState state);
 
 // Sends lists to the client and waits until the client has reported them.
 class ListClientHarness {
@@ -27,7 +27,7 @@
 
   // Sends one list as one line. Returns whether the client reported exactly this list; false if the client
   // failed on it.
-  bool deliver(const core::HostList& list);
+  bool deliver(const core::EndpointList& list);
 
  private:
   void accept_watch_connection();
@@ -37,9 +37,9 @@
   core::Inbox inbox_;
   net::BufferPool pool_;
   net::Socket listener_;
-  park::Park event_loop_;
-  park::Crew thread_pool_;
-  net::HostGroup client_;
+  park::EventLoop event_loop_;
+  park::ThreadPool thread_pool_;
+  net::EndpointListClient client_;
   net::Socket watch_connection_;
 };
 
--- a/src/lab/scale/list_crowd.cpp
+++ b/src/lab/scale/list_crowd.cpp
@@ -25,7 +25,7 @@
       settings.list_on_request = true;
       settings.must_ask_within = load.must_ask_within;
       settings.list_binds_after =
-          core::to_micros(core::kToldWithinMs);  // the same value as in core::read_config
+          core::to_micros(core::kUpdateBindsAfterMs);  // the same value as in core::read_config
       dispatchers_.emplace_back(settings, seed * 1'000'003 + static_cast<std::uint64_t>(i));
     }
     subscribed_.resize(dispatchers_.size());
--- a/src/lab/scale/list_part.cpp
+++ b/src/lab/scale/list_part.cpp
@@ -35,13 +35,13 @@
   EventSeries encoding("encode of a whole list", "workers", {kTargetWorkers});
   const int repetitions = settings.small ? 4 : 12;
   for (const int workers : worker_counts(settings)) {
-    const core::HostList list = endpoint_list(workers);
-    const std::string text = core::text_of(list);
+    const core::EndpointList list = endpoint_list(workers);
+    const std::string text = core::serialize(list);
     bytes.points.push_back(summarize(workers, {static_cast<double>(text.size())}));
     EventSamples decode, encode;
     for (int i = 0; i < repetitions; ++i) {
-      encode.measure([&] { core::text_of(list); });
-      decode.measure([&] { core::read_host_list(nlohmann::json::parse(text)); });
+      encode.measure([&] { core::serialize(list); });
+      decode.measure([&] { core::parse_endpoint_list(nlohmann::json::parse(text)); });
     }
     encoding.add(workers, encode);
     decoding.add(workers, decode);
@@ -49,8 +49,8 @@
   report.series.push_back(std::move(bytes));
   encoding.append_to(report);
   decoding.append_to(report);
-  const core::HostList change = endpoint_change(1, 2, WorkerState::draining);
-  report.facts.push_back({"one change, bytes", static_cast<double>(core::text_of(change).size()), "bytes"});
+  const core::EndpointList change = endpoint_change(1, 2, WorkerState::draining);
+  report.facts.push_back({"one change, bytes", static_cast<double>(core::serialize(change).size()), "bytes"});
 }
 
 bool client_accepts_list(int workers) {
@@ -79,11 +79,11 @@
     if (workers > max_workers) break;
     ListClientHarness client;
     EventSamples whole_samples, change_samples;
-    core::HostList list = endpoint_list(workers);
+    core::EndpointList list = endpoint_list(workers);
     for (int i = 0; i < repetitions; ++i, ++list.seq) whole_samples.measure([&] { client.deliver(list); });
     for (int i = 0; i < repetitions; ++i, ++list.seq) {
       const auto state = i % 2 == 0 ? WorkerState::draining : WorkerState::ready;
-      const core::HostList changed = endpoint_change(i / 2 % workers, list.seq, state);
+      const core::EndpointList changed = endpoint_change(i / 2 % workers, list.seq, state);
       change_samples.measure([&] { client.deliver(changed); });
     }
     whole.add(workers, whole_samples);
--- a/src/lab/scale/stand_in_supervisors.cpp
+++ b/src/lab/scale/stand_in_supervisors.cpp
@@ -58,7 +58,7 @@
 void FakeSupervisors::run() {
   while (!stopping_) {
     const auto [ready, unused] =
-        net::wait_for(listener_.fd(), POLLIN, -1, clock_.now() + kPollIntervalMs, clock_);
+        net::poll_until(listener_.fd(), POLLIN, -1, clock_.now() + kPollIntervalMs, clock_);
     if (ready != 0) answer_call();
   }
 }
@@ -73,7 +73,7 @@
   char bytes[256];
   std::size_t received = 0;
   while (call.find('\n') == std::string::npos) {
-    if (caller.receive(bytes, sizeof bytes, received, deadline, clock_) != net::Io::done) return;
+    if (caller.receive(bytes, sizeof bytes, received, deadline, clock_) != net::IoResult::done) return;
     call.append(bytes, received);
   }
   caller.send({status_}, deadline, clock_);
--- a/src/lab/scale/store_part.cpp
+++ b/src/lab/scale/store_part.cpp
@@ -18,12 +18,12 @@
 
 std::string key_of(int number) { return "job-key-" + std::to_string(number); }
 
-store::Record make_record(int number, store::Standing standing) {
+store::Record make_record(int number, store::RecordState standing) {
   store::Record record;
   record.key = key_of(number);
   record.meta = std::string(kMetaBytes, 'm');
-  record.standing = standing;
-  record.changed = number;
+  record.state = standing;
+  record.changed_at = number;
   record.body = std::string(kBodyBytes, 'b');
   return record;
 }
@@ -34,7 +34,7 @@
 void append_open_jobs(store::Store& store, int begin, int end) {
   std::vector<store::Record> batch;
   for (int i = begin; i < end; ++i) {
-    batch.push_back(make_record(i, store::Standing::open));
+    batch.push_back(make_record(i, store::RecordState::open));
     if (batch.size() < kFillBatchRecords && i + 1 < end) continue;
     store.append(batch);
     batch.clear();
@@ -60,11 +60,11 @@
       store::Store store(options_in(folder));
       append_open_jobs(store, 0, jobs);
       for (int i = 0; i < repetitions; ++i) {
-        const std::vector<store::Record> records{make_record(jobs + i, store::Standing::open)};
+        const std::vector<store::Record> records{make_record(jobs + i, store::RecordState::open)};
         take_samples.measure([&] { store.append(records); });
       }
       for (int i = 0; i < repetitions; ++i) {
-        store::Record end = make_record(jobs + i, store::Standing::closed);
+        store::Record end = make_record(jobs + i, store::RecordState::closed);
         end.result = std::string(kBodyBytes, 'r');
         const std::vector<store::Record> records{end};
         close_samples.measure([&] { store.append(records); });
@@ -76,7 +76,7 @@
     for (int i = 0; i < 3; ++i)
       start_samples.measure([&] {
         store::Store store(options_in(folder));
-        store.read(store::Standing::open, [&](const store::Record&) { return ++read, true; });
+        store.for_each(store::RecordState::open, [&](const store::Record&) { return ++read, true; });
       });
     const store::Store store(options_in(folder));
     memory.points.push_back(
@@ -101,7 +101,7 @@
     EventSamples commit_samples;
     for (int i = 0; i < (settings.small ? 4 : 20); ++i) {
       std::vector<store::Record> records;
-      for (int k = 0; k < jobs; ++k) records.push_back(make_record(next_job++, store::Standing::open));
+      for (int k = 0; k < jobs; ++k) records.push_back(make_record(next_job++, store::RecordState::open));
       commit_samples.measure([&] { store.append(records); });
     }
     commit.add(jobs, commit_samples);
@@ -119,12 +119,12 @@
   if (settings.small) sizes = {10, 40, 160};
   for (const int jobs : sizes) {
     const std::int64_t start_bytes = allocations().live_bytes;
-    lease::Table table({.lease_ms = kLeaseDurationMs});
+    lease::LeaseTable table({.lease_ms = kLeaseDurationMs});
     std::vector<lease::Effect> effects;
     double now = 0;
     const auto start_job = [&](const std::string& key) {
-      table.handle(now, lease::Take{key, lease::Repeat::safe, 1e9, 0}, effects);
-      table.handle(now, lease::Chosen{key, "worker", "ledger", true}, effects);
+      table.handle(now, lease::Submitted{key, lease::RepeatPolicy::idempotent, 1e9, 0}, effects);
+      table.handle(now, lease::WorkerChosen{key, "worker", "ledger", true}, effects);
       effects.clear();
     };
     for (int i = 0; i < jobs; ++i) start_job(key_of(i));
@@ -136,8 +136,8 @@
       life_samples.measure([&] {
         start_job(key);
         const std::uint64_t epoch = table.find(key)->epoch;
-        table.handle(now, lease::Heard{key, epoch}, effects);
-        table.handle(now, lease::Ended{key, epoch, lease::End::done}, effects);
+        table.handle(now, lease::HeartbeatReceived{key, epoch}, effects);
+        table.handle(now, lease::LeasedExecutionEnded{key, epoch, lease::ExecutionOutcome::done}, effects);
         table.forget(key);
         effects.clear();
       });
--- a/src/lab/scale/supervisor_part.cpp
+++ b/src/lab/scale/supervisor_part.cpp
@@ -13,10 +13,10 @@
 
 constexpr double kTickMs = 50;
 
-supervise::Core serving_core() {
-  supervise::Core core({"version-1", "/opt/woadtide-1", "/etc/woadtide-1.toml", 1}, {});
+supervise::SupervisorCore serving_core() {
+  supervise::SupervisorCore core({"version-1", "/opt/woadtide-1", "/etc/woadtide-1.toml", 1}, {});
   core.tick(0);
-  core.serves(kTickMs, 0);
+  core.on_ready(kTickMs, 0);
   return core;
 }
 
@@ -32,14 +32,14 @@
   Series bytes{"state, bytes", "excluded workers", "bytes", {}, {kTargetWorkers}};
   const int repetitions = settings.small ? 8 : 100;
   for (const int excluded : sizes) {
-    supervise::Core core = serving_core();
-    for (int i = 0; i < excluded; ++i) core.exclude(worker_entry(i).worker, true);
+    supervise::SupervisorCore core = serving_core();
+    for (int i = 0; i < excluded; ++i) core.set_excluded(worker_entry(i).worker, true);
     EventSamples tick_samples, text_samples, reading_samples;
     std::string state;
     for (int i = 0; i < repetitions; ++i) {
       tick_samples.measure([&] { core.tick((2 + i) * kTickMs); });
-      text_samples.measure([&] { state = core.text(); });
-      reading_samples.measure([&] { supervise::Core::from(state, {}); });
+      text_samples.measure([&] { state = core.serialize(); });
+      reading_samples.measure([&] { supervise::SupervisorCore::parse(state, {}); });
     }
     tick.add(excluded, tick_samples);
     text.add(excluded, text_samples);
--- a/src/lab/soak/clients.cpp
+++ b/src/lab/soak/clients.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 using End = RequestRecord::End;
-using net::Io;
+using net::IoResult;
 
 constexpr double kConnectTimeoutMs = 1'000;
 constexpr double kAnswerGraceMs = 1'500;  // how long past its deadline an answer is still waited for
@@ -74,7 +74,7 @@
 
   bool connect() {
     while (may_connect()) {
-      socket_ = net::Socket::make(run_state_.dispatcher);
+      socket_ = net::Socket::create(run_state_.dispatcher);
       connection_is_new_ = true;
       if (socket_.connect(run_state_.dispatcher, kConnectTimeoutMs)) return true;
       socket_ = net::Socket{};
@@ -124,7 +124,7 @@
       sleep_ms(random_.real(0, kMaxPauseMs));
     }
     const bool sent =
-        socket_.send({std::string_view(text).substr(pause_offset)}, until_ms, clock_) == Io::done;
+        socket_.send({std::string_view(text).substr(pause_offset)}, until_ms, clock_) == IoResult::done;
     request.sent_ms = clock_.now();
     if (!sent) return close_connection(request, End::reset);
     if (disconnect_after_ms != kNoDisconnect) {
@@ -145,21 +145,22 @@
     std::array<char, kReadBufferBytes> buffer{};
     for (std::size_t answer_bytes = 0; answer_bytes == 0 || received.size() < answer_bytes;) {
       std::size_t received_bytes = 0;
-      const Io io = socket_.receive(buffer.data(), buffer.size(), received_bytes, until_ms, clock_);
-      if (io != Io::done)
-        return close_connection(request, io == Io::late    ? End::unanswered
-                                         : io == Io::ended ? End::closed
-                                                           : End::reset);
+      const IoResult io = socket_.receive(buffer.data(), buffer.size(), received_bytes, until_ms, clock_);
+      if (io != IoResult::done)
+        return close_connection(request, io == IoResult::timed_out       ? End::unanswered
+                                         : io == IoResult::end_of_stream ? End::closed
+                                                                         : End::reset);
       received.append(buffer.data(), received_bytes);
       const std::size_t head_bytes = net::head_length(received);
       if (head_bytes == 0) continue;
-      const net::Head head = net::read_answer_head(std::string_view(received).substr(0, head_bytes));
-      const net::Framing framing = net::framing_of_answer(head);
+      const net::MessageHead head =
+          net::parse_response_head(std::string_view(received).substr(0, head_bytes));
+      const net::Framing framing = net::response_framing(head);
       answer_bytes = head_bytes + static_cast<std::size_t>(framing.length);
       request.status = head.status;
       if (received.size() < answer_bytes) continue;
       request.body = received.substr(head_bytes, answer_bytes - head_bytes);
-      if (framing.closes) socket_ = net::Socket{};
+      if (framing.closes_link) socket_ = net::Socket{};
     }
     connection_is_new_ = false;
     request.end = End::answered;
@@ -199,7 +200,7 @@
                                                                   {"a head alone", head_bytes},
                                                                   {"half a body", head_bytes + 3}};
   const auto& [description, byte_count] = partial_requests[number % 4];
-  net::Socket socket = net::Socket::make(run_state.dispatcher);
+  net::Socket socket = net::Socket::create(run_state.dispatcher);
   if (!socket.connect(run_state.dispatcher, kConnectTimeoutMs)) return;
   BadClientRecord record{description, clock.now(), 0};
   const double until_ms = clock.now() + kBadClientTimeoutMs;
--- a/src/lab/soak/run.cpp
+++ b/src/lab/soak/run.cpp
@@ -64,7 +64,7 @@
 
   RunResult run() {
     RunResult result;
-    Process process = start(ports_[1]);
+    ChildProcess process = start(ports_[1]);
     wait_until_ready(ports_[1], kReadyTimeoutMs);
     load_started_at_ = clock_.now();
     {
@@ -88,28 +88,29 @@
 
   void add_worker(int number) {
     const std::string name = "w" + std::to_string(number);
-    workers_.push_back(std::make_unique<Worker>(0, "", false, [this, number, name](const Begun& execution) {
-      const lab::Plan plan = execution_plan(number, execution);
-      recorder_.add(AttemptRecord{execution.id, name, clock_.now(), execution.budget_ms,
-                                  plan.end == lab::Plan::End::refuse});
-      return plan;
-    }));
-    workers_.back()->set_idle_ms(plan_.worker_idle_ms);
-    for (Discovery& discovery : discoveries_) discovery.set(name, workers_.back()->dial());
+    workers_.push_back(
+        std::make_unique<TestWorker>(0, "", false, [this, number, name](const ExecutionRequest& execution) {
+          const lab::ExecutionPlan plan = execution_plan(number, execution);
+          recorder_.add(AttemptRecord{execution.id, name, clock_.now(), execution.budget_ms,
+                                      plan.outcome == lab::ExecutionPlan::Outcome::refuse});
+          return plan;
+        }));
+    workers_.back()->set_idle_timeout_ms(plan_.worker_idle_ms);
+    for (TestDiscovery& discovery : discoveries_) discovery.set_worker(name, workers_.back()->address());
   }
 
-  lab::Plan execution_plan(int number, const Begun& execution) const {
-    lab::Plan plan;
+  lab::ExecutionPlan execution_plan(int number, const ExecutionRequest& execution) const {
+    lab::ExecutionPlan plan;
     const double fraction = hash_fraction(execution.id);
-    plan.run_ms = 2 + 20 * fraction;
-    if (is_hanging_[static_cast<std::size_t>(number)]) plan.run_ms = kHangDurationMs;
+    plan.duration_ms = 2 + 20 * fraction;
+    if (is_hanging_[static_cast<std::size_t>(number)]) plan.duration_ms = kHangDurationMs;
     if (!plan_.workers_fail) return plan;
     if (fraction < kFailedShare)
-      plan.end = lab::Plan::End::failed;
+      plan.outcome = lab::ExecutionPlan::Outcome::failed;
     else if (fraction < kFailedShare + kRefusedShare)
-      plan.end = lab::Plan::End::refuse;
+      plan.outcome = lab::ExecutionPlan::Outcome::refuse;
     else if (fraction < kFailedShare + kRefusedShare + kCutShare)
-      plan.end = lab::Plan::End::cut;
+      plan.outcome = lab::ExecutionPlan::Outcome::cut;
     return plan;
   }
 
@@ -121,7 +122,7 @@
 
   void write_config() {
     nlohmann::json config =
-        config_json(discoveries_[0].list(), discoveries_[active_discovery_].dial(), ports_[0]);
+        config_json(discoveries_[0].serialized_list(), discoveries_[active_discovery_].address(), ports_[0]);
     config["settings"]["Domain"]["TellsStart"] = true;
     config["settings"]["PolicyLimits"]["Cancel"] = true;
     config["settings"]["Categories"][0]["DeadlineUs"] = static_cast<int>(plan_.longest_deadline_ms * 1'000);
@@ -137,15 +138,15 @@
     fs::rename(new_path, path_in_folder("config.json"));
   }
 
-  Process start(int management_port) const {
+  ChildProcess start(int management_port) const {
     std::map<std::string, std::string> environment{
         {"TMPDIR", settings_.folder},
         {"ROUTER_MANAGEMENT", "127.0.0.1:" + std::to_string(management_port)},
         {"WOADTIDE_FAULTS", plan_.faults},
         {"LD_PRELOAD", settings_.shim}};
     if (passed_socket_) environment["ROUTER_PASSED_SOCKET"] = std::to_string(passed_socket_.fd());
-    return Process({settings_.dispatcher, "serve", "--config", path_in_folder("config.json")}, environment,
-                   path_in_folder("log"));
+    return ChildProcess({settings_.dispatcher, "serve", "--config", path_in_folder("config.json")},
+                        environment, path_in_folder("log"));
   }
 
   void wait_until_ready(int management_port, double timeout_ms) {
@@ -153,7 +154,7 @@
     const std::string address = "127.0.0.1:" + std::to_string(management_port);
     for (const double until_ms = clock_.now() + timeout_ms; clock_.now() < until_ms;
          ::poll(nullptr, 0, kPollIntervalMs))
-      if (const auto reply = net::call(address, "readyz", kCallTimeoutMs);
+      if (const auto reply = net::call_line(address, "readyz", kCallTimeoutMs);
           reply && reply->starts_with("done"))
         return;
     throw std::runtime_error("the dispatcher did not become ready; see " + path_in_folder("log"));
@@ -177,8 +178,8 @@
     switch (event.kind) {
       case EventKind::drain:
         drained_at_[name] = clock_.now();
-        for (Discovery& discovery : discoveries_)
-          discovery.set(name, workers_[worker]->dial(), "Terminating");
+        for (TestDiscovery& discovery : discoveries_)
+          discovery.set_worker(name, workers_[worker]->address(), "Terminating");
         return;
       case EventKind::hang_begins:
         is_hanging_[worker] = true;
@@ -197,7 +198,7 @@
         discovery_recovered_at_ = clock_.now();
         return;
       case EventKind::watches_silent:
-        discoveries_[active_discovery_].silence_watches();
+        discoveries_[active_discovery_].mute_open_watches();
         return;
       case EventKind::process_paused:
         ::kill(pid, SIGSTOP);
@@ -213,8 +214,8 @@
   }
 
   // Starts the next process beside the running one, which gets SIGTERM once the next one is ready.
-  Process upgrade(Process old) {
-    Process next = start(ports_[2]);
+  ChildProcess upgrade(ChildProcess old) {
+    ChildProcess next = start(ports_[2]);
     wait_until_ready(ports_[2], kUpgradeTimeoutMs);
     shut_down(old, false);
     sleep_until(clock_.now() + kSuccessorRunMs);
@@ -223,7 +224,7 @@
 
   // Sends the plan's signals, and SIGKILL at the earliest time that the protocol allows. Returns ms from
   // SIGTERM to the exit. `is_last`: no other process takes the clients.
-  double shut_down(Process& process, bool is_last) {
+  double shut_down(ChildProcess& process, bool is_last) {
     const double signalled_at = clock_.now();
     if (is_last && plan_.ending == ShutdownMethod::hup_term)
       for (int i = 0; i < 2; ++i) ::kill(process.pid(), SIGHUP);
@@ -235,7 +236,7 @@
         signalled_at + std::min(plan_.longest_deadline_ms, kMaxDeadlineMs) + kKillSlackMs;
     std::optional<int> status;
     while (!status && clock_.now() < kill_at_ms) {
-      status = process.ended();
+      status = process.poll_exit();
       ::poll(nullptr, 0, kPollIntervalMs);
     }
     const double elapsed_ms = clock_.now() - signalled_at;
@@ -254,8 +255,8 @@
   void record_drains() {
     for (const auto& [worker, at] : drained_at_) {
       double binds_ms = std::max(at, discovery_recovered_at_) + kUpdateBindsAfterMs;
-      for (Discovery& discovery : discoveries_)
-        if (const auto first_told_at = discovery.told_not_ready(worker))
+      for (TestDiscovery& discovery : discoveries_)
+        if (const auto first_told_at = discovery.not_ready_sent_at(worker))
           binds_ms = std::min(binds_ms, *first_told_at);
       recorder_.add(DrainRecord{worker, binds_ms});
     }
@@ -276,9 +277,9 @@
   Recorder recorder_;
   RunState run_state_;
   std::vector<std::atomic<bool>> is_hanging_;  // by worker index
-  std::array<Discovery, 2> discoveries_;
+  std::array<TestDiscovery, 2> discoveries_;
   std::size_t active_discovery_ = 0;
-  std::vector<std::unique_ptr<Worker>> workers_;
+  std::vector<std::unique_ptr<TestWorker>> workers_;
   std::map<std::string, double> drained_at_;
   double load_started_at_ = 0, discovery_recovered_at_ = 0;
   net::Socket passed_socket_;
--- a/src/lab/worker.hpp
+++ b/src/lab/worker.hpp
@@ -19,34 +19,34 @@
 namespace woadtide::lab {
 
 // What the worker does with one execution.
-struct Plan {
-  double run_ms = 5;
-  double heartbeat_ms = 0;  // interval of the `running` lines; 0: none after `started`
-  enum class End { done, failed, cut, refuse } end = End::done;
+struct ExecutionPlan {
+  double duration_ms = 5;
+  double heartbeat_interval_ms = 0;  // interval of the `running` lines; 0: none after `started`
+  enum class Outcome { done, failed, cut, refuse } outcome = Outcome::done;
   std::string result = {};  // empty: "done KEY"
 };
 // An execution as the dispatcher requested it.
-struct Begun {
+struct ExecutionRequest {
   std::string id, key, body, lease, host;
   std::uint64_t epoch = 0;
-  bool once = false;
+  bool at_most_once = false;
   double budget_ms = 0;  // how long the dispatcher will wait
 };
 
 // In-process worker; serves each link on its own thread.
-class Worker {
+class TestWorker {
  public:
-  using Planner = std::function<Plan(const Begun&)>;
+  using Planner = std::function<ExecutionPlan(const ExecutionRequest&)>;
   // Port 0 selects a free port. Without the path of a ledger nothing is recorded and no inquiry is answered.
-  Worker(int port, const std::string& ledger, bool answers_inquiries, Planner planner);
-  ~Worker();
+  TestWorker(int port, const std::string& ledger, bool answers_inquiries, Planner planner);
+  ~TestWorker();
 
   int port() const { return acceptor_.port(); }
-  std::string dial() const { return "127.0.0.1:" + std::to_string(port()); }
+  std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
   // Number of executions started.
-  int executions() const { return executions_; }
+  int execution_count() const { return executions_; }
   // Idle time after which a link is closed without an answer.
-  void set_idle_ms(double idle_ms) { idle_ms_ = idle_ms; }
+  void set_idle_timeout_ms(double idle_ms) { idle_ms_ = idle_ms; }
 
  private:
   struct JobRecord {
@@ -56,9 +56,9 @@
   };
   void serve(net::Socket& socket);
   bool answer_inquiry(net::Socket& socket, const std::string& key, std::uint64_t epoch);
-  bool execute(net::Socket& socket, const Begun& request);
+  bool execute(net::Socket& socket, const ExecutionRequest& request);
   bool write(net::Socket& socket, const std::string& text);
-  bool write_event(net::Socket& socket, const Begun& request, const std::string& state,
+  bool write_event(net::Socket& socket, const ExecutionRequest& request, const std::string& state,
                    const std::string& result = {});
 
   core::Clock clock_;
--- a/src/lease/lease.hpp
+++ b/src/lease/lease.hpp
@@ -21,42 +21,43 @@
 // State of a job. States from `finished` on are final.
 enum class State { taken, leased, running, finished, failed, in_doubt, refused };
 // Whether a job may run more than once (idempotent) or must run at most once.
-enum class Repeat { safe, once };
+enum class RepeatPolicy { idempotent, at_most_once };
 
 // Whether no event changes a job in this state any more.
 inline bool is_final(State state) { return state >= State::finished; }
 // Name of a state on the wire and in records, such as "in-doubt".
-const char* name_of(State state);
+const char* state_name(State state);
 // State with this name; nullopt if there is none.
-std::optional<State> state_of(const std::string& name);
+std::optional<State> state_from_name(const std::string& name);
 
 // A durable job, as it is stored.
 struct Job {
   std::string key;
-  Repeat repeat = Repeat::once;
+  RepeatPolicy repeat = RepeatPolicy::at_most_once;
   double deadline = 0;  // no lease is granted from this time on
   State state = State::taken;
-  std::uint64_t epoch = 0;  // of the newest lease or inquiry; only ever grows
-  std::string worker;       // holder of the newest lease
-  std::string ledger;       // id of the worker's ledger when the lease was granted; empty if unknown
-  bool answers = false;     // whether that worker can be asked about jobs
-  double changed = 0;       // time of the last change of state
-  std::string why;          // reason for a final state, for operators
+  std::uint64_t epoch = 0;         // of the newest lease or inquiry; only ever grows
+  std::string worker;              // holder of the newest lease
+  std::string ledger;              // id of the worker's ledger when the lease was granted; empty if unknown
+  bool answers_inquiries = false;  // whether that worker can be asked about jobs
+  double changed_at = 0;           // time of the last change of state
+  std::string reason;              // reason for a final state, for operators
 };
 
 // Timing of leases and inquiries.
 struct Settings {
-  double lease_ms = 10'000;    // a lease expires this long after its last heartbeat
-  double ask_every_ms = 250;   // interval between inquiries to a worker
-  double late_ask_ms = 5'000;  // after a restart: how long the worker of an expired job is still asked
+  double lease_ms = 10'000;          // a lease expires this long after its last heartbeat
+  double inquiry_interval_ms = 250;  // interval between inquiries to a worker
+  double recovery_inquiry_ms =
+      5'000;  // after a restart: how long the worker of an expired job is still asked
 };
 
 // Events -------------------------------------------------------------------------------------------------
 
 // A client submitted a new job, or one that was refused before, in which case `epoch` is the one it had.
-struct Take {
+struct Submitted {
   std::string key;
-  Repeat repeat = Repeat::once;
+  RepeatPolicy repeat = RepeatPolicy::at_most_once;
   double deadline = 0;
   std::uint64_t epoch = 0;
 };
@@ -69,45 +70,47 @@
   Job job;
 };
 // The decision module chose this worker for the job.
-struct Chosen {
+struct WorkerChosen {
   std::string key, worker, ledger;
-  bool answers = false;
+  bool answers_inquiries = false;
 };
 // A heartbeat arrived: `started` or `running`.
-struct Heard {
+struct HeartbeatReceived {
   std::string key;
   std::uint64_t epoch = 0;
 };
 // Outcome of an execution. `not_started`: it is proved that nothing ran.
-enum class End { done, failed, not_run, unknown };
+enum class ExecutionOutcome { done, failed, not_started, unknown };
 // The execution under this lease ended.
-struct Ended {
+struct LeasedExecutionEnded {
   std::string key;
   std::uint64_t epoch = 0;
-  End end = End::unknown;
+  ExecutionOutcome outcome = ExecutionOutcome::unknown;
 };
 // The decision module answered without a result.
-struct GivenUp {
+struct AnsweredWithoutResult {
   std::string key;
   bool refused = false;
 };
 // Worker's answer about a job. `never`: its ledger has no such job. `unreachable`: no answer came.
-enum class Says { finished, failed, running, never, unknown, unreachable };
+enum class InquiryAnswer { finished, failed, running, never, unknown, unreachable };
 // The answer to an AskWorker of this epoch.
-struct Answered {
+struct InquiryAnswered {
   std::string key;
   std::uint64_t epoch = 0;
-  Says says = Says::unreachable;
+  InquiryAnswer answer = InquiryAnswer::unreachable;
   std::string ledger;
 };
 // The client withdraws the job.
-struct Withdraw {
+struct Withdrawn {
   std::string key;
 };
 // Time has passed; see next_due().
-struct Tick {};
+struct TimePassed {};
 
-using Event = std::variant<Take, Recovered, Resumed, Chosen, Heard, Ended, GivenUp, Answered, Withdraw, Tick>;
+using Event =
+    std::variant<Submitted, Recovered, Resumed, WorkerChosen, HeartbeatReceived, LeasedExecutionEnded,
+                 AnsweredWithoutResult, InquiryAnswered, Withdrawn, TimePassed>;
 
 // Effects ------------------------------------------------------------------------------------------------
 
@@ -116,40 +119,41 @@
   std::string key;
 };
 // Send the execution to the chosen worker, once all preceding records are on disk.
-struct Start {
+struct StartExecution {
   std::string key;
   std::uint64_t epoch = 0;
 };
 // Do not send the execution. Nothing of it ran.
-struct Unsend {
+struct CancelStart {
   std::string key;
 };
 // Remove the job from the decision module.
-struct Retract {
+struct RetractFromModule {
   std::string key;
 };
 // Write the current state of the job to the store. `lazy`: it need not be synced at once.
-struct Write {
+struct WriteRecord {
   std::string key;
   bool lazy = false;
 };
 // Ask the worker about the job, once all preceding records are on disk. From then on the worker must not
 // begin the job with an epoch below `epoch`.
-struct Ask {
+struct AskWorker {
   std::string key, worker;
   std::uint64_t epoch = 0;
 };
 // The job has reached its final state: the owner notifies all waiting clients, then calls forget().
-struct Tell {
+struct NotifyClients {
   std::string key;
 };
 
-using Effect = std::variant<Dispatch, Start, Unsend, Retract, Write, Ask, Tell>;
+using Effect = std::variant<Dispatch, StartExecution, CancelStart, RetractFromModule, WriteRecord, AskWorker,
+                            NotifyClients>;
 
 // All open jobs and their leases.
-class Table {
+class LeaseTable {
  public:
-  explicit Table(Settings settings) : settings_(settings) {}
+  explicit LeaseTable(Settings settings) : settings_(settings) {}
 
   // Processes an event and appends the resulting effects, which the owner must carry out in order.
   void handle(double now, const Event& event, std::vector<Effect>& effects);
@@ -174,16 +178,16 @@
     double due_ms = 0;             // its key in due_jobs_
   };
 
-  void handle_event(double now, const Take& event);
+  void handle_event(double now, const Submitted& event);
   void handle_event(double now, const Recovered& event);
   void handle_event(double now, const Resumed& event);
-  void handle_event(double now, const Chosen& event);
-  void handle_event(double now, const Heard& event);
-  void handle_event(double now, const Ended& event);
-  void handle_event(double now, const GivenUp& event);
-  void handle_event(double now, const Answered& event);
-  void handle_event(double now, const Withdraw& event);
-  void handle_event(double now, const Tick& event);
+  void handle_event(double now, const WorkerChosen& event);
+  void handle_event(double now, const HeartbeatReceived& event);
+  void handle_event(double now, const LeasedExecutionEnded& event);
+  void handle_event(double now, const AnsweredWithoutResult& event);
+  void handle_event(double now, const InquiryAnswered& event);
+  void handle_event(double now, const Withdrawn& event);
+  void handle_event(double now, const TimePassed& event);
 
   OpenJob* find_leased(const std::string& key, std::uint64_t epoch);
   OpenJob& add(Job job, double final_by_ms);
--- a/src/log/structured.cpp
+++ b/src/log/structured.cpp
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-Structured::Structured(bool json, std::size_t queue) {
+AsyncLog::AsyncLog(bool json, std::size_t queue) {
   json_enabled = json;
   writer_pool = std::make_shared<spdlog::details::thread_pool>(queue, 1);
   for (const bool is_json : {false, true}) {
@@ -57,9 +57,9 @@
   core::set_log_sink(write);
 }
 
-void Structured::set_json(bool json) { json_enabled = json; }
+void AsyncLog::set_json(bool json) { json_enabled = json; }
 
-Structured::~Structured() {
+AsyncLog::~AsyncLog() {
   core::set_log_sink(nullptr);
   writer_pool.reset();  // writes the queued lines and joins the thread, which must not hold the last
                         // reference to a logger
--- a/src/log/structured.hpp
+++ b/src/log/structured.hpp
@@ -8,13 +8,13 @@
 namespace woadtide::log {
 
 // Receives the lines of core::log_line during its lifetime. Only one may exist at a time.
-class Structured {
+class AsyncLog {
  public:
   // `queue`: capacity in lines; when it is full, the oldest lines are dropped.
-  Structured(bool json, std::size_t queue);
-  ~Structured();
-  Structured(const Structured&) = delete;
-  Structured& operator=(const Structured&) = delete;
+  AsyncLog(bool json, std::size_t queue);
+  ~AsyncLog();
+  AsyncLog(const AsyncLog&) = delete;
+  AsyncLog& operator=(const AsyncLog&) = delete;
   // Switches between text and JSON for all following lines, at any time.
   void set_json(bool json);
 };
--- a/src/net/buffer_pool.hpp
+++ b/src/net/buffer_pool.hpp
@@ -23,7 +23,7 @@
 // turn. That is enough for the largest message and some more.
 constexpr int kMaxReadsPerTurn = 8;
 // When a link reads on that had to stop, because its turn was over or no buffer was free.
-constexpr double kGoOnMs = 5;
+constexpr double kResumeReadDelayMs = 5;
 
 class BufferPool;
 
@@ -67,14 +67,14 @@
     return take_locked();
   }
   // Changes the limit. Buffers above it are freed as they are returned.
-  void set_most(std::size_t max_buffers) {
+  void set_max_buffers(std::size_t max_buffers) {
     const std::lock_guard lock(mutex_);
     max_buffers_ = max_buffers;
     while (allocated_ > max_buffers_ && !free_.empty()) free_.pop_back(), allocated_ -= 1;
     returned_.notify_all();
   }
   // Number of buffers in use.
-  std::size_t out() const {
+  std::size_t in_use() const {
     const std::lock_guard lock(mutex_);
     return allocated_ - free_.size();
   }
--- a/src/net/client_link.cpp
+++ b/src/net/client_link.cpp
@@ -14,19 +14,19 @@
 const BadMessage kReadTimeout(408, "the rest did not come");
 }
 
-ClientLink::ClientLink(Socket socket, ClientSide& context, ClientLinks& links)
+ClientLink::ClientLink(Socket socket, ClientLinkContext& context, ClientLinks& links)
     : context_(context),
       links_(links),
       mutex_(links.mutex_),
       socket_(std::move(socket)),
       reader_(context.pool),
       opened_at_(context.clock.now()),
-      read_deadline_(opened_at_ + context.first_ms) {}
+      read_deadline_(opened_at_ + context.read_timeout_ms) {}
 
 // Event handler: the socket became readable or writable, or the client closed.
-void ClientLink::ready(park::Signs signs) {
+void ClientLink::on_ready(park::ReadinessEvents signs) {
   peer_closed_ |= signs.closed;
-  std::shared_ptr<Errand> abandoned;
+  std::shared_ptr<PendingRequest> abandoned;
   bool writing = false, lingering = false;
   {
     const std::lock_guard lock(*mutex_);
@@ -42,20 +42,20 @@
       if (!abandoned) return;
     }
   }
-  if (abandoned) return abandoned->gone();
+  if (abandoned) return abandoned->on_client_disconnected();
   if (writing) return send_pending();
   if (lingering) return discard_input();
   read_message();
 }
 
 // Event handler: a time limit of this link has been reached.
-void ClientLink::late() {
+void ClientLink::on_timeout() {
   bool has_input = false;
   {
     const std::lock_guard lock(*mutex_);
     if (closed_ || (processing_ && !writing_)) return;
     if (writing_ || state_ == ConnectionState::lingering) return links_.remove_link(*this);
-    has_input = reading_ || reader_.has_rest() || !socket_.quiet();
+    has_input = reading_ || reader_.has_surplus() || !socket_.is_idle();
     if (!has_input) return links_.begin_linger(*this);
   }
   read_message();
@@ -83,54 +83,55 @@
     // place and a buffer, and one that sends a byte now and then must not hold them without end.
     if (!std::exchange(reading_, true)) {
       const double started_at = answered_ ? now : opened_at_;
-      read_deadline_ = started_at + context_.first_ms;
+      read_deadline_ = started_at + context_.read_timeout_ms;
       message_deadline_ = started_at + context_.message_timeout_ms;
     }
-    const bool has_rest = reader_.has_rest();
-    const std::span<char> free_space = reader_.room();
+    const bool has_rest = reader_.has_surplus();
+    const std::span<char> free_space = reader_.free_space();
     if (free_space.empty() || reads == kMaxReadsPerTurn) {
       if (now >= read_deadline_)
         throw free_space.empty() ? BadMessage(503, "no memory for it now") : kReadTimeout;
-      schedule_read(std::min(now + kGoOnMs, read_deadline_), received);
+      schedule_read(std::min(now + kResumeReadDelayMs, read_deadline_), received);
       return false;
     }
-    if (has_rest && reader_.came(0)) return true;
+    if (has_rest && reader_.bytes_received(0)) return true;
     std::size_t received_bytes = 0;
     // A non-blocking read: the event loop signals when there is more.
-    const Io io = socket_.receive(free_space.data(), free_space.size(), received_bytes);
-    if (now > context_.read_until) throw BadMessage(503, "clients are sent away");
-    if (io == Io::late) {
+    const IoResult io = socket_.receive(free_space.data(), free_space.size(), received_bytes);
+    if (now > context_.read_cutoff_ms) throw BadMessage(503, "clients are sent away");
+    if (io == IoResult::timed_out) {
       unread_since_.reset();
       wait_for_bytes(now, received);
       return false;
     }
-    if (io != Io::done) {
+    if (io != IoResult::done) {
       const std::lock_guard lock(*mutex_);
       links_.remove_link(*this);
       return false;
     }
     received = true;
     received_at_ = unread_since_.value_or(now);
-    if (reader_.came(received_bytes)) {
+    if (reader_.bytes_received(received_bytes)) {
       // The connection may have waited to be accepted, and this process may have been delayed: the kernel
       // knows how old the bytes are.
-      received_at_ = std::min(received_at_, context_.clock.ago(socket_.newest_bytes_age_ms()));
+      received_at_ = std::min(received_at_, context_.clock.before_now(socket_.newest_bytes_age_ms()));
       // Bytes that arrive from here on have not waited, even if they are there before finish_reply() looks.
-      if (unread_since_ && socket_.quiet()) unread_since_.reset();
+      if (unread_since_ && socket_.is_idle()) unread_since_.reset();
       return true;
     }
-    if (reader_.wants_continue()) socket_.send_some({"HTTP/1.1 100 Continue\r\n\r\n"});
+    if (reader_.wants_continue()) socket_.send_available({"HTTP/1.1 100 Continue\r\n\r\n"});
     read_deadline_ = std::min(std::max(read_deadline_, now + context_.read_gap_ms), message_deadline_);
   }
 }
 
 // The socket is drained. A link on which no message has begun gives its buffer back.
 void ClientLink::wait_for_bytes(double now, bool received) {
-  if (!reader_.begun()) {
+  if (!reader_.has_partial_message()) {
     reader_.release_empty_buffer();
     reading_ = false;
     const std::lock_guard lock(*mutex_);
-    context_.park.wake_at(token_, answered_ ? state_since_ + context_.idle_timeout_ms : read_deadline_);
+    context_.event_loop.set_timeout(token_,
+                                    answered_ ? state_since_ + context_.idle_timeout_ms : read_deadline_);
     return;
   }
   if (now >= read_deadline_) throw kReadTimeout;
@@ -139,7 +140,7 @@
 
 // Reads again at `when` at the latest. `received` says whether bytes arrived in this turn.
 void ClientLink::schedule_read(double when, bool received) {
-  context_.park.wake_at(token_, when);
+  context_.event_loop.set_timeout(token_, when);
   if (!received) return;
   const std::lock_guard lock(*mutex_);
   links_.set_state(*this, answered_ ? ConnectionState::busy : ConnectionState::reading);
@@ -153,14 +154,14 @@
     processing_ = true;
     links_.set_state(*this, ConnectionState::busy);
   }
-  Message message = reader_.take();
-  message.received = received_at_;
-  auto request = context_.front.take(shared_from_this(), std::move(message));
+  IncomingMessage message = reader_.take();
+  message.received_at = received_at_;
+  auto request = context_.frontend.handle_message(shared_from_this(), std::move(message));
   {
     const std::lock_guard lock(*mutex_);
     if (closed_) return;
     if (!processing_ || !request) {  // already answered
-      if (peer_closed_ && !processing_) context_.park.poke(token_, {.readable = true});
+      if (peer_closed_ && !processing_) context_.event_loop.wake(token_, {.readable = true});
       return;
     }
     if (!peer_closed_) {
@@ -169,12 +170,12 @@
     }
     links_.remove_link(*this);
   }
-  request->gone();
+  request->on_client_disconnected();
 }
 
 void ClientLink::reply(int status, std::string_view fields, std::string_view body, bool closes,
                        bool is_query) {
-  std::shared_ptr<Errand> answered_request;  // destroyed after the mutex is released
+  std::shared_ptr<PendingRequest> answered_request;  // destroyed after the mutex is released
   {
     const std::lock_guard lock(*mutex_);
     if (closed_) return;
@@ -184,7 +185,7 @@
   // While the message is being processed nobody else uses the socket, except to detect that the client
   // closed.
   const std::string head = response_head(status, fields, body.size(), closes);
-  const std::size_t sent_bytes = socket_.send_some({head, body});
+  const std::size_t sent_bytes = socket_.send_available({head, body});
   if (sent_bytes == head.size() + body.size()) return finish_reply(closes, is_query);
   unsent_ = head.substr(std::min(sent_bytes, head.size()));
   unsent_ += body.substr(sent_bytes - std::min(sent_bytes, head.size()));
@@ -193,14 +194,14 @@
   close_when_sent_ = closes;
   unsent_is_query_ = is_query;
   writing_ = true;
-  context_.park.wake_at(token_, context_.clock.now() + context_.message_timeout_ms);
+  context_.event_loop.set_timeout(token_, context_.clock.now() + context_.message_timeout_ms);
   // The socket may have become writable before writing_ was set.
-  context_.park.poke(token_, {.writable = true});
+  context_.event_loop.wake(token_, {.writable = true});
 }
 
 // Continues to send the response.
 void ClientLink::send_pending() {
-  const std::size_t sent_bytes = socket_.send_some({unsent_});
+  const std::size_t sent_bytes = socket_.send_available({unsent_});
   unsent_.erase(0, sent_bytes);
   if (!unsent_.empty() && !peer_closed_) return;
   const bool complete = std::exchange(unsent_, {}).empty();
@@ -218,17 +219,18 @@
   carried_query_ |= is_query;
   if (closes) return links_.begin_linger(*this);
   // The last read may have taken less than had arrived, and the event loop signals only changes.
-  const bool has_input = std::exchange(input_signalled_, false) || reader_.has_rest() || !socket_.quiet();
+  const bool has_input =
+      std::exchange(input_signalled_, false) || reader_.has_surplus() || !socket_.is_idle();
   links_.set_state(*this, carried_query_ ? ConnectionState::idle : ConnectionState::idle_no_query);
-  context_.park.wake_at(token_, state_since_ + context_.idle_timeout_ms);
-  if (has_input) context_.park.poke(token_, {.readable = true});
+  context_.event_loop.set_timeout(token_, state_since_ + context_.idle_timeout_ms);
+  if (has_input) context_.event_loop.wake(token_, {.readable = true});
 }
 
 // Answers a message that cannot be accepted, and closes the link.
 void ClientLink::reject(int status, std::string_view reason) {
   reading_ = false;
   const std::string body = std::string(reason) + '\n';
-  socket_.send_some({response_head(status, "Content-Type: text/plain\r\n", body.size(), true), body});
+  socket_.send_available({response_head(status, "Content-Type: text/plain\r\n", body.size(), true), body});
   {
     const std::lock_guard lock(*mutex_);
     if (closed_) return;
@@ -244,13 +246,13 @@
 void ClientLink::discard_input() {
   std::array<char, 4096> discarded{};
   std::size_t received_bytes = 0;
-  Io io = Io::done;
-  for (int reads = 0; io == Io::done && reads < kMaxReadsPerTurn; ++reads)
+  IoResult io = IoResult::done;
+  for (int reads = 0; io == IoResult::done && reads < kMaxReadsPerTurn; ++reads)
     io = socket_.receive(discarded.data(), discarded.size(), received_bytes);
-  if (io == Io::late) return;
+  if (io == IoResult::timed_out) return;
   const std::lock_guard lock(*mutex_);
-  if (io != Io::done || context_.clock.now() >= read_deadline_) return links_.remove_link(*this);
-  context_.park.poke(token_, {.readable = true});
+  if (io != IoResult::done || context_.clock.now() >= read_deadline_) return links_.remove_link(*this);
+  context_.event_loop.wake(token_, {.readable = true});
 }
 
 }  // namespace woadtide::net
--- a/src/net/client_link.hpp
+++ b/src/net/client_link.hpp
@@ -22,42 +22,43 @@
 class ClientLink;
 
 // A pending request: what a client link notifies while its message is being processed.
-class Errand {
+class PendingRequest {
  public:
-  virtual ~Errand() = default;
+  virtual ~PendingRequest() = default;
   // The client has disconnected, so the response is no longer needed. Called at most once, on the event
   // loop's thread; must not block.
-  virtual void gone() = 0;
+  virtual void on_client_disconnected() = 0;
 };
 
 // A protocol frontend: processes the messages of client links that speak one protocol.
-class Front {
+class Frontend {
  public:
-  virtual ~Front() = default;
+  virtual ~Frontend() = default;
   // Handles one message. Called on the event loop's thread; must not block. It either calls link->reply()
   // before it returns, and returns null, or returns the pending request that will call reply() once, on any
   // thread. Throws BadMessage.
-  virtual std::shared_ptr<Errand> take(const std::shared_ptr<ClientLink>& link, Message message) = 0;
+  virtual std::shared_ptr<PendingRequest> handle_message(const std::shared_ptr<ClientLink>& link,
+                                                         IncomingMessage message) = 0;
 };
 
 // Resources, timeouts and drain state that all client links of one frontend share.
-struct ClientSide {
+struct ClientLinkContext {
   core::Clock& clock;
   BufferPool& pool;
-  park::Park& park;
-  Front& front;
+  park::EventLoop& event_loop;
+  Frontend& frontend;
   // A message must be complete this long after accept (the first message of a link) or after its first byte
   // (later ones). While its bytes keep arriving, the limit extends to read_gap_ms after the newest byte, but
   // not beyond message_timeout_ms after the same start.
-  double first_ms = 2'000;
+  double read_timeout_ms = 2'000;
   double read_gap_ms = 1'000;
   double idle_timeout_ms = 120'000;  // a link that has served a message is closed after this long without one
   double message_timeout_ms = 10'000;  // longest time for reading one message, and for writing one response
   std::atomic<bool> draining{false};   // every response closes its link
-  static constexpr double kAlways = 1e18;  // no limit on read_cutoff_ms
+  static constexpr double kNoReadCutoff = 1e18;  // no limit on read_cutoff_ms
   // Messages that are still being read after this time (ms on `clock`) are rejected: once clients are sent
   // away, a query must not start late.
-  std::atomic<double> read_until{kAlways};
+  std::atomic<double> read_cutoff_ms{kNoReadCutoff};
 };
 
 // State of a client link. It decides whether the link may be closed to make room for another one.
@@ -73,10 +74,10 @@
 class ClientLinks;
 
 // One client link. The event loop and its ClientLinks hold it; whoever answers its message may hold it too.
-class ClientLink : public park::Guest, public std::enable_shared_from_this<ClientLink> {
+class ClientLink : public park::EventHandler, public std::enable_shared_from_this<ClientLink> {
  public:
   // `socket` is connected. The link is not watched until ClientLinks registers it with the event loop.
-  ClientLink(Socket socket, ClientSide& context, ClientLinks& links);
+  ClientLink(Socket socket, ClientLinkContext& context, ClientLinks& links);
 
   // Sends the response to the message that the frontend has taken. `fields` are complete header lines,
   // `closes` ends the link after the response, `is_query` says that the message was a query for workers. May
@@ -88,8 +89,8 @@
   friend class ClientLinks;
 
   // On the event loop's thread.
-  void ready(park::Signs signs) override;
-  void late() override;
+  void on_ready(park::ReadinessEvents signs) override;
+  void on_timeout() override;
   void read_message();
   bool read_available();
   void dispatch_message();
@@ -101,7 +102,7 @@
   void discard_input();
 
   // Both may be destroyed once closed_ is set.
-  ClientSide& context_;
+  ClientLinkContext& context_;
   ClientLinks& links_;
   const std::shared_ptr<std::mutex> mutex_;  // shared with links_, and outlives it
   Socket socket_;
@@ -127,9 +128,9 @@
   bool answered_ = false;       // it has carried a complete message that was answered
   bool carried_query_ = false;  // one of them was a query for workers
   double state_since_ = 0;      // when it entered its state, or received its newest byte in it
-  std::shared_ptr<Errand> pending_request_;
+  std::shared_ptr<PendingRequest> pending_request_;
   std::list<std::shared_ptr<ClientLink>>::iterator position_;
-  park::Park::Token token_ = park::Park::kNone;
+  park::EventLoop::Token token_ = park::EventLoop::kNoToken;
 };
 
 }  // namespace woadtide::net
--- a/src/net/client_links.cpp
+++ b/src/net/client_links.cpp
@@ -32,7 +32,7 @@
 constexpr double kLingerMs = 500;
 }  // namespace
 
-ClientLinks::ClientLinks(Socket listener, std::size_t max_links, ClientSide& context)
+ClientLinks::ClientLinks(Socket listener, std::size_t max_links, ClientLinkContext& context)
     : context_(context),
       max_links_(max_links),
       listener_(std::move(listener)),
@@ -40,44 +40,44 @@
       final_accepts_left_(kMaxFinalAccepts) {
   // Otherwise accept() would block if the client gave up between the event loop's notification and the call.
   ::fcntl(listener_.fd(), F_SETFL, O_NONBLOCK);
-  timer_token_ = context_.park.enter(*this, -1);
+  timer_token_ = context_.event_loop.add(*this, -1);
 }
 
-void ClientLinks::start() { listener_token_ = context_.park.enter(*this, listener_.fd()); }
+void ClientLinks::start() { listener_token_ = context_.event_loop.add(*this, listener_.fd()); }
 
 ClientLinks::~ClientLinks() { stop(); }
 
 // Messages that are being processed may still be answered; the response then goes nowhere.
 void ClientLinks::stop() {
-  context_.park.leave(listener_token_);
-  context_.park.leave(timer_token_);
-  context_.park.quiesce();  // a sweep_and_accept() that is running may still accept
+  context_.event_loop.remove(listener_token_);
+  context_.event_loop.remove(timer_token_);
+  context_.event_loop.quiesce();  // a sweep_and_accept() that is running may still accept
   {
     const std::lock_guard lock(*mutex_);
     for (Links& links : links_)
       while (!links.empty()) remove_link(*links.front());
   }
-  context_.park.quiesce();
+  context_.event_loop.quiesce();
 }
 
 void ClientLinks::stop_accepting() {
   context_.draining = true;
   evacuating_since_ = context_.clock.now() - kCloseFreshAfterMs;
   stopping_ = true;
-  context_.park.poke(timer_token_, {});
+  context_.event_loop.wake(timer_token_, {});
 }
 
-void ClientLinks::leave_to_other() {
+void ClientLinks::leave_listener_to_sibling() {
   left_to_sibling_ = true;
   context_.draining = true;
   evacuating_since_ = context_.clock.now() - kBalancerNoticeMs;
   stopping_ = true;
-  context_.park.poke(timer_token_, {});
+  context_.event_loop.wake(timer_token_, {});
 }
 
-void ClientLinks::set_most(std::size_t max_links) {
+void ClientLinks::set_max_links(std::size_t max_links) {
   max_links_ = max_links;
-  context_.park.poke(timer_token_, {});
+  context_.event_loop.wake(timer_token_, {});
 }
 
 void ClientLinks::evacuate() {
@@ -85,7 +85,7 @@
   context_.draining = true;
   evacuating_since_.compare_exchange_strong(not_evacuating,
                                             context_.clock.now());  // a repeated call does not restart it
-  context_.park.poke(timer_token_, {});
+  context_.event_loop.wake(timer_token_, {});
 }
 
 void ClientLinks::activate() {
@@ -93,7 +93,7 @@
   if (!stopping_) context_.draining = false;
 }
 
-std::size_t ClientLinks::open() {
+std::size_t ClientLinks::open_count() {
   const std::lock_guard lock(*mutex_);
   return open_links();
 }
@@ -126,7 +126,7 @@
 }
 
 void ClientLinks::wake_waiting_accept() {
-  if (std::exchange(accept_waiting_, false)) context_.park.poke(timer_token_, {});
+  if (std::exchange(accept_waiting_, false)) context_.event_loop.wake(timer_token_, {});
 }
 
 // The only way in which we end a link that its client has not closed: our side is shut down, and input is
@@ -134,31 +134,31 @@
 // arrive at that moment would reset the connection while a response is still on its way.
 void ClientLinks::begin_linger(ClientLink& link) {
   if (link.closed_) return;
-  link.socket_.shut(SHUT_WR);
+  link.socket_.shut_down(SHUT_WR);
   link.processing_ = false;
   link.read_deadline_ = context_.clock.now() + kLingerMs;
   set_state(link, ConnectionState::lingering);
-  context_.park.wake_at(link.token_, link.read_deadline_);
-  context_.park.poke(link.token_, {.readable = true});
+  context_.event_loop.set_timeout(link.token_, link.read_deadline_);
+  context_.event_loop.wake(link.token_, {.readable = true});
 }
 
 void ClientLinks::remove_link(ClientLink& link) {
   if (std::exchange(link.closed_, true)) return;
   wake_waiting_accept();
   link.pending_request_.reset();
-  context_.park.leave(link.token_);
+  context_.event_loop.remove(link.token_);
   in_state(link.state_).erase(link.position_);
 }
 
 // On the event loop's thread ------------------------------------------------------------------------------
 
-void ClientLinks::ready(park::Signs) { sweep_and_accept(); }
-void ClientLinks::late() { sweep_and_accept(); }
+void ClientLinks::on_ready(park::ReadinessEvents) { sweep_and_accept(); }
+void ClientLinks::on_timeout() { sweep_and_accept(); }
 
 void ClientLinks::sweep_and_accept() {
   // One time for both: with a second reading of the clock, what falls due between the two would be missed.
   const double now = context_.clock.now();
-  if (evacuating_since_ > 0) context_.park.wake_at(timer_token_, now + kSweepIntervalMs);
+  if (evacuating_since_ > 0) context_.event_loop.set_timeout(timer_token_, now + kSweepIntervalMs);
   sweep(now);
   if (listener_) accept_pending();
 }
@@ -176,10 +176,10 @@
     if (result == AcceptResult::accepted) result = accept_one();
   }
   if (result == AcceptResult::retry_later)
-    context_.park.wake_at(timer_token_, context_.clock.now() + kAcceptAgainMs);
-  if (result == AcceptResult::accepted) context_.park.poke(timer_token_, {});
+    context_.event_loop.set_timeout(timer_token_, context_.clock.now() + kAcceptRetryMs);
+  if (result == AcceptResult::accepted) context_.event_loop.wake(timer_token_, {});
   if (result == AcceptResult::none_pending && stopping) {
-    context_.park.leave(listener_token_);
+    context_.event_loop.remove(listener_token_);
     listener_ = Socket{};
   }
 }
@@ -196,7 +196,7 @@
     if (now >= evacuating_since + kCloseFreshAfterMs)
       close_silent(ConnectionState::fresh, now - kMinFreshAgeMs);
   }
-  if (now > context_.read_until) reject_partial_messages();
+  if (now > context_.read_cutoff_ms) reject_partial_messages();
 }
 
 // Rejects the messages that have arrived in part: no more of them will be read.
@@ -206,7 +206,7 @@
     const std::lock_guard lock(*mutex_);
     for (const ConnectionState state : {ConnectionState::reading, ConnectionState::busy})
       for (const auto& link : in_state(state))
-        if (!link->processing_ && link->socket_.quiet()) partial.push_back(link);
+        if (!link->processing_ && link->socket_.is_idle()) partial.push_back(link);
   }
   for (const auto& link : partial) link->reject(503, "clients are sent away");
 }
@@ -215,7 +215,7 @@
 void ClientLinks::close_silent(ConnectionState state, double opened_before) {
   for (auto it = in_state(state).begin(); it != in_state(state).end();) {
     ClientLink& link = **it++;
-    if (link.opened_at_ <= opened_before && link.socket_.quiet()) begin_linger(link);
+    if (link.opened_at_ <= opened_before && link.socket_.is_idle()) begin_linger(link);
   }
 }
 
@@ -228,23 +228,23 @@
   link->state_since_ = link->opened_at_;
   link->position_ = in_state(ConnectionState::fresh).insert(in_state(ConnectionState::fresh).end(), link);
   try {
-    link->token_ = context_.park.enter(link, link->socket_.fd());
+    link->token_ = context_.event_loop.add(link, link->socket_.fd());
   } catch (const std::exception& error) {
     core::log_line(std::string("acceptor: ") + error.what());
     remove_link(*link);
     return AcceptResult::accepted;
   }
-  context_.park.wake_at(link->token_, link->read_deadline_);
+  context_.event_loop.set_timeout(link->token_, link->read_deadline_);
   return AcceptResult::accepted;
 }
 
 // If the system is out of resources, accept() is not retried at once: the client waits in the kernel's queue.
 ClientLinks::AcceptResult ClientLinks::handle_accept_error(int error) {
   const AcceptError kind = accept_error(error);
-  if (kind != AcceptError::machine)
-    return kind == AcceptError::nobody ? AcceptResult::none_pending : AcceptResult::accepted;
+  if (kind != AcceptError::system_refused)
+    return kind == AcceptError::none_pending ? AcceptResult::none_pending : AcceptResult::accepted;
   const bool out_of_resources = error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
-  if (accept_error_log_.due(context_.clock.now()))
+  if (accept_error_log_.allow(context_.clock.now()))
     core::log_line(out_of_resources ? "acceptor: out of descriptors or memory"
                                     : "acceptor: " + std::generic_category().message(error));
   return AcceptResult::retry_later;
@@ -262,8 +262,8 @@
   if (open_links() < max_links_) return AcceptResult::accepted;
   // No link is evicted unless a connection waits; and one that arrives after this check is not accepted, as
   // there is no place for it yet.
-  if (wait_for(listener_.fd(), POLLIN, -1, 0, context_.clock).first == 0) return AcceptResult::none_pending;
-  if (all_open_log_.due(context_.clock.now()))
+  if (poll_until(listener_.fd(), POLLIN, -1, 0, context_.clock).first == 0) return AcceptResult::none_pending;
+  if (all_open_log_.allow(context_.clock.now()))
     core::log_line(
         "acceptor: all " + std::to_string(max_links_) + " client links are open, " +
         std::to_string(in_state(ConnectionState::fresh).size() + in_state(ConnectionState::reading).size()) +
@@ -299,7 +299,7 @@
   for (const ConnectionState state : {ConnectionState::fresh, ConnectionState::reading})
     for (const auto& link : in_state(state)) {
       if (link->state_since_ > active_before || (found && found->state_since_ <= link->state_since_)) break;
-      if (!link->socket_.quiet()) continue;
+      if (!link->socket_.is_idle()) continue;
       found = link.get();
       break;
     }
--- a/src/net/client_links.hpp
+++ b/src/net/client_links.hpp
@@ -15,11 +15,11 @@
 namespace woadtide::net {
 
 // Owns the listening socket and the client links.
-class ClientLinks : private park::Guest {
+class ClientLinks : private park::EventHandler {
  public:
   // Allows at most `max_links` links at once; each uses one descriptor. Accepts only after start(). Throws
   // std::system_error.
-  ClientLinks(Socket listener, std::size_t max_links, ClientSide& context);
+  ClientLinks(Socket listener, std::size_t max_links, ClientLinkContext& context);
   ~ClientLinks() override;
   ClientLinks(const ClientLinks&) = delete;
   ClientLinks& operator=(const ClientLinks&) = delete;
@@ -32,16 +32,16 @@
   // they become idle. Links whose query is being processed stay open until it is answered.
   void stop_accepting();
   // Like stop_accepting(), but leaves the queue to the sibling process that listens on the same socket.
-  void leave_to_other();
+  void leave_listener_to_sibling();
   // Changes the limit on links. Those above it are closed, except where a query is being processed.
-  void set_most(std::size_t max_links);
+  void set_max_links(std::size_t max_links);
   // Sends clients away without ending the process: responses close their links, and idle links are closed
   // once the load balancer in front of us has seen that we are not ready. The listening socket stays open.
   // evacuate() and activate() may be called repeatedly, in any order.
   void evacuate();
   void activate();
   // Number of open links, lingering ones included.
-  std::size_t open();
+  std::size_t open_count();
   // Number of links in this state.
   std::size_t count(ConnectionState state);
   // When the newest link in this state entered it, or received its newest byte in it (ms on the clock); 0 if
@@ -63,8 +63,8 @@
   void wake_waiting_accept();
 
   // On the event loop's thread.
-  void ready(park::Signs signs) override;
-  void late() override;
+  void on_ready(park::ReadinessEvents signs) override;
+  void on_timeout() override;
   void sweep_and_accept();
   void accept_pending();
   void sweep(double now);
@@ -79,7 +79,7 @@
   std::size_t open_links() const;
   Links& in_state(ConnectionState state) { return links_[static_cast<std::size_t>(state)]; }
 
-  ClientSide& context_;
+  ClientLinkContext& context_;
   std::atomic<std::size_t> max_links_;
   Socket listener_;
   const int port_;
@@ -89,9 +89,10 @@
   // One list per state, ordered by state_since_, so that accepting needs no scan over all links.
   std::array<Links, 6> links_;
   bool accept_waiting_ = false;  // a connection waits for a link to be closed
-  core::Seldom all_open_log_, accept_error_log_;
+  core::LogRateLimit all_open_log_, accept_error_log_;
   int final_accepts_left_;  // accepts still allowed after stop_accepting()
-  park::Park::Token listener_token_ = park::Park::kNone, timer_token_ = park::Park::kNone;
+  park::EventLoop::Token listener_token_ = park::EventLoop::kNoToken,
+                         timer_token_ = park::EventLoop::kNoToken;
 };
 
 }  // namespace woadtide::net
--- a/src/net/host_group.hpp
+++ b/src/net/host_group.hpp
@@ -25,18 +25,20 @@
 namespace woadtide::net {
 
 // Keeps the endpoint list and a watch on it; posts every change to the Inbox as core::ListTold.
-class HostGroup : public core::HostSource, private park::Guest, private endpoints::EndpointListListener {
+class EndpointListClient : public core::EndpointSource,
+                           private park::EventHandler,
+                           private endpoints::EndpointListListener {
  public:
   // By the protocol, discovery writes at least an empty line every 2 s. A watch on which two lines were due
   // and neither has come is silent. The changes that it misses take effect 6 s after it fell silent; the
   // remaining time is for opening another watch, as all watches may fall silent at once and discovery answers
   // the calls one by one.
-  static constexpr double kKeepAliveIntervalMs = 2'000, kSilenceMs = 2 * kKeepAliveIntervalMs;
+  static constexpr double kKeepAliveIntervalMs = 2'000, kSilenceTimeoutMs = 2 * kKeepAliveIntervalMs;
   // Timeout of a connect to discovery.
   static constexpr double kConnectTimeoutMs = 1'000;
   // If discovery sends only lists older than the current one for this long, its sequence has restarted, and
   // its list is accepted.
-  static constexpr double kOlderListHoldMs = core::kToldWithinMs;
+  static constexpr double kOlderListHoldMs = core::kUpdateBindsAfterMs;
   // By the protocol, changes at a new discovery address take effect this long after a reload.
   static constexpr double kAddressChangeGraceMs = 4'000;
   // Limit of the response timeout, which grows after calls without a response, as a multiple of the silence
@@ -47,10 +49,10 @@
   static constexpr std::size_t kDefaultMemoryBytes = 192'000'000;
   // How lists are obtained. asked: on request of the module, from discovery. pushed: from an agent on this
   // machine.
-  enum class Way { asked, pushed };
+  enum class DiscoveryMode { on_request, pushed };
 
   // A worker's list entry with its dial address, as text and parsed.
-  struct Known {
+  struct ResolvedEndpoint {
     Address address;
     std::string dial;
     woadtide::ListEntry entry;
@@ -58,35 +60,36 @@
 
   // Posts the remembered list to the Inbox at once. `on_first_list` is called once, with the first list
   // received from discovery or from a sibling process; it must not block or call back into this object.
-  HostGroup(const std::string& discovery, const core::HostList& remembered, core::Clock& clock,
-            core::Inbox& inbox, BufferPool& buffer_pool, park::Park& event_loop, park::Crew& thread_pool,
-            Way mode = Way::asked, double silence_timeout_ms = kSilenceMs,
-            std::function<void()> on_first_list = {},
-            const endpoints::EndpointLimits& limits = endpoints::endpoint_limits(kDefaultMemoryBytes));
+  EndpointListClient(
+      const std::string& discovery, const core::EndpointList& remembered, core::Clock& clock,
+      core::Inbox& inbox, BufferPool& buffer_pool, park::EventLoop& event_loop, park::ThreadPool& thread_pool,
+      DiscoveryMode mode = DiscoveryMode::on_request, double silence_timeout_ms = kSilenceTimeoutMs,
+      std::function<void()> on_first_list = {},
+      const endpoints::EndpointLimits& limits = endpoints::endpoint_limits(kDefaultMemoryBytes));
   // Ends the watch and waits for the thread that opens it.
-  ~HostGroup() override;
-  HostGroup(const HostGroup&) = delete;
-  HostGroup& operator=(const HostGroup&) = delete;
+  ~EndpointListClient() override;
+  EndpointListClient(const EndpointListClient&) = delete;
+  EndpointListClient& operator=(const EndpointListClient&) = delete;
 
   // Opens a watch. No effect while one is open or being opened: its outcome is the answer.
-  void watch() override;
+  void start_watch() override;
   // Changes the address of discovery. The watch is opened there at once, and no failure is reported: the
   // module's retry backoff is for a discovery that is down, and drains would be missed meanwhile. Throws
   // std::invalid_argument if `discovery` is not an address.
-  void move(const std::string& discovery);
+  void set_discovery_address(const std::string& discovery);
   // The current list as JSON, for sibling processes.
-  std::string list() const override;
+  std::string serialized_list() const override;
   // Applies a list from a sibling process if its sequence is higher than the current one. The same sequence
   // counts only if it is the first to say how old the list is. Text that is not JSON is ignored.
-  void hear_list(const std::string& text) override;
+  void merge_sibling_list(const std::string& text) override;
   // The worker's endpoint in the current list; nullopt if the list does not contain it.
-  std::optional<Known> find(const std::string& worker) const;
+  std::optional<ResolvedEndpoint> find(const std::string& worker) const;
 
  private:
   void start_call();
   void open_watch();
-  void ready(park::Signs events) override;
-  void late() override;
+  void on_ready(park::ReadinessEvents events) override;
+  void on_timeout() override;
   void process_available_input();
   void on_keep_alive() override;
   void on_update(endpoints::EndpointUpdate&& update) override;
@@ -113,9 +116,9 @@
   core::Clock& clock_;
   core::Inbox& inbox_;
   BufferPool& buffer_pool_;
-  park::Park& event_loop_;
-  park::Crew& thread_pool_;
-  const Way mode_;
+  park::EventLoop& event_loop_;
+  park::ThreadPool& thread_pool_;
+  const DiscoveryMode mode_;
   const double silence_timeout_ms_;
   mutable std::mutex mutex_;
   std::condition_variable opening_done_;
@@ -130,9 +133,9 @@
   double reopen_delay_ms_ = 0;         // push: delay before the watch is reopened
   endpoints::EndpointTable table_;
   endpoints::EndpointListReader reader_;
-  park::Park::Token timer_token_ = park::Park::kNone, watch_token_ = park::Park::kNone;
+  park::EventLoop::Token timer_token_ = park::EventLoop::kNoToken, watch_token_ = park::EventLoop::kNoToken;
   Socket socket_;  // used by the opening thread, then by the event loop; shut down by others under the mutex
-  std::optional<Intake> intake_;
+  std::optional<BufferedInput> intake_;
   std::optional<BodyDecoder> body_;      // set once the response head has been read
   std::size_t body_bytes_received_ = 0;  // of the current call
   double last_message_at_ = 0;  // time of the last complete message: a trickle of bytes is no sign of life
@@ -145,7 +148,7 @@
   int unusable_lists_in_row_ = 0;        // since the last valid list
   int unusable_lists_ = 0;               // in total
   bool silent_since_last_list_ = false;  // since the last list: a failed call may be one of too many
-  core::Seldom local_failure_log_;
+  core::LogRateLimit local_failure_log_;
   std::function<void()> on_first_list_;
 };
 
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -39,12 +39,12 @@
   return before;
 }
 
-void read_version(Head& head, std::string_view version) {
+void read_version(MessageHead& head, std::string_view version) {
   if (version != "HTTP/1.1" && version != "HTTP/1.0") throw BadMessage(400, "not HTTP/1.1");
   head.http10 = version == "HTTP/1.0";
 }
 
-void read_fields(Head& head, std::string_view lines) {
+void read_fields(MessageHead& head, std::string_view lines) {
   while (!lines.empty()) {
     const std::string_view line = cut(lines, "\r\n");
     if (line.empty()) break;
@@ -56,23 +56,24 @@
   }
 }
 
-bool declares_close(const Head& head) {
-  return head.connection_names("close") || (head.http10 && !head.connection_names("keep-alive"));
+bool declares_close(const MessageHead& head) {
+  return head.connection_lists("close") || (head.http10 && !head.connection_lists("keep-alive"));
 }
 
 // The framing that the header fields declare; nullopt if they declare none. Throws BadMessage if two
 // implementations could see two lengths: a second message could then be smuggled in the body of the first.
-std::optional<Framing> declared_framing(const Head& head) {
+std::optional<Framing> declared_framing(const MessageHead& head) {
   Framing framing;
-  framing.closes = declares_close(head);
+  framing.closes_link = declares_close(head);
   std::optional<std::uint64_t> length;
   bool chunked = false;
-  for (const Field& field : head.fields) {
-    if (same_name(field.name, "Transfer-Encoding")) {
-      if (chunked || !same_name(field.value, "chunked")) throw BadMessage(400, "unknown transfer encoding");
+  for (const HeaderField& field : head.fields) {
+    if (equals_ignore_case(field.name, "Transfer-Encoding")) {
+      if (chunked || !equals_ignore_case(field.value, "chunked"))
+        throw BadMessage(400, "unknown transfer encoding");
       chunked = true;
-    } else if (same_name(field.name, "Content-Length")) {
-      const auto value = whole_number(field.value);
+    } else if (equals_ignore_case(field.name, "Content-Length")) {
+      const auto value = parse_unsigned(field.value);
       if (!value || length) throw BadMessage(400, "malformed Content-Length");
       length = value;
     }
@@ -90,29 +91,29 @@
 bool is_token(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), is_token_char);
 }
-bool same_name(std::string_view a, std::string_view b) {
+bool equals_ignore_case(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
 }
 
-std::optional<std::uint64_t> whole_number(std::string_view text) {
+std::optional<std::uint64_t> parse_unsigned(std::string_view text) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (text.empty() || error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
   return value;
 }
 
-std::optional<std::string_view> Head::find(std::string_view name) const {
-  for (const Field& field : fields)
-    if (same_name(field.name, name)) return field.value;
+std::optional<std::string_view> MessageHead::find(std::string_view name) const {
+  for (const HeaderField& field : fields)
+    if (equals_ignore_case(field.name, name)) return field.value;
   return std::nullopt;
 }
 
-bool Head::connection_names(std::string_view name) const {
-  for (const Field& field : fields) {
-    if (!same_name(field.name, "Connection")) continue;
+bool MessageHead::connection_lists(std::string_view name) const {
+  for (const HeaderField& field : fields) {
+    if (!equals_ignore_case(field.name, "Connection")) continue;
     for (std::string_view options = field.value; !options.empty();)
-      if (same_name(trimmed(cut(options, ",")), name)) return true;
+      if (equals_ignore_case(trimmed(cut(options, ",")), name)) return true;
   }
   return false;
 }
@@ -124,8 +125,8 @@
   return 0;
 }
 
-Head read_query_head(std::string_view raw) {
-  Head head;
+MessageHead parse_request_head(std::string_view raw) {
+  MessageHead head;
   std::string_view line = cut(raw, "\r\n");
   head.method = cut(line, " ");
   head.target = cut(line, " ");
@@ -136,41 +137,41 @@
   return head;
 }
 
-Head read_answer_head(std::string_view raw) {
-  Head head;
+MessageHead parse_response_head(std::string_view raw) {
+  MessageHead head;
   std::string_view line = cut(raw, "\r\n");
   read_version(head, cut(line, " "));
-  const auto status = whole_number(cut(line, " "));
+  const auto status = parse_unsigned(cut(line, " "));
   if (!status || *status < 100 || *status > 599) throw BadMessage(400, "malformed status line");
   head.status = static_cast<int>(*status);
   read_fields(head, raw);
   return head;
 }
 
-Framing framing_of_query(const Head& head) {
+Framing request_framing(const MessageHead& head) {
   const Framing framing =
       declared_framing(head).value_or(Framing{Framing::Kind::length, 0, declares_close(head)});
   if (framing.length > kMaxBodyBytes) throw BadMessage(413, "body over 64 KiB");
   return framing;
 }
 
-Framing framing_of_answer(const Head& head) {
+Framing response_framing(const MessageHead& head) {
   if (head.status < 200 || head.status == 204 || head.status == 304)
     return {Framing::Kind::length, 0, declares_close(head)};
-  return declared_framing(head).value_or(Framing{Framing::Kind::to_end, 0, true});
+  return declared_framing(head).value_or(Framing{Framing::Kind::until_close, 0, true});
 }
 
 BodyDecoder::BodyDecoder(const Framing& framing)
     : chunked_(framing.kind == Framing::Kind::chunked), remaining_(framing.length) {
   if (chunked_)
     state_ = State::size_line;
-  else if (framing.kind == Framing::Kind::to_end)
+  else if (framing.kind == Framing::Kind::until_close)
     state_ = State::until_close;
   else
     state_ = remaining_ == 0 ? State::complete : State::data;
 }
 
-std::size_t BodyDecoder::feed(std::string_view raw, const std::function<void(std::string_view)>& sink) {
+std::size_t BodyDecoder::decode(std::string_view raw, const std::function<void(std::string_view)>& sink) {
   std::size_t used = 0;
   while (used < raw.size() && state_ != State::complete) {
     const std::string_view rest = raw.substr(used);
@@ -211,39 +212,40 @@
   return used;
 }
 
-Io Intake::more(double deadline) {
+IoResult BufferedInput::read_more(double deadline) {
   const bool may_wait = deadline != kNoWait;
   starved_ = !may_wait && reads_++ >= kMaxReadsPerTurn;  // until the turn ends, even if called again
-  if (starved_) return Io::late;
+  if (starved_) return IoResult::timed_out;
   if (begin_ == end_) {
     buffer_.reset();
     begin_ = end_ = 0;
-    if (may_wait && wait_for(socket_.fd(), POLLIN, -1, deadline, clock_).first == 0) return Io::late;
+    if (may_wait && poll_until(socket_.fd(), POLLIN, -1, deadline, clock_).first == 0)
+      return IoResult::timed_out;
     auto buffer = may_wait ? pool_.take(deadline, clock_) : pool_.take();
     starved_ = !buffer;
-    if (!buffer) return Io::late;
+    if (!buffer) return IoResult::timed_out;
     buffer_.emplace(std::move(*buffer));
   } else if (begin_ > 0) {
     std::memmove(buffer_->data(), buffer_->data() + begin_, end_ - begin_);
     end_ -= begin_;
     begin_ = 0;
   }
-  if (end_ == kBufferBytes) return Io::broken;
+  if (end_ == kBufferBytes) return IoResult::failed;
   std::size_t received_bytes = 0;
   char* const free_space = buffer_->data() + end_;
   const std::size_t free_bytes = kBufferBytes - end_;
-  const Io io = may_wait ? socket_.receive(free_space, free_bytes, received_bytes, deadline, clock_)
-                         : socket_.receive(free_space, free_bytes, received_bytes);
-  if (io == Io::done) end_ += received_bytes;
+  const IoResult io = may_wait ? socket_.receive(free_space, free_bytes, received_bytes, deadline, clock_)
+                               : socket_.receive(free_space, free_bytes, received_bytes);
+  if (io == IoResult::done) end_ += received_bytes;
   if (begin_ == end_) buffer_.reset();
   return io;
 }
 
-std::optional<std::size_t> Intake::head(double deadline, Io& result, double gap_ms) {
+std::optional<std::size_t> BufferedInput::read_head(double deadline, IoResult& result, double gap_ms) {
   for (;;) {
     if (const std::size_t length = head_length(view())) return length;
-    result = more(view().empty() ? deadline : std::min(deadline, now() + gap_ms));
-    if (result != Io::done) return std::nullopt;
+    result = read_more(view().empty() ? deadline : std::min(deadline, now() + gap_ms));
+    if (result != IoResult::done) return std::nullopt;
   }
 }
 
@@ -252,37 +254,38 @@
 void LineReader::decode_received() {
   if (decode_error_) return;
   try {
-    intake_.use(decoder_.feed(intake_.view(), [this](std::string_view piece) { pending_.append(piece); }));
+    intake_.consume(
+        decoder_.decode(intake_.view(), [this](std::string_view piece) { pending_.append(piece); }));
   } catch (const BadMessage& bad) {
     decode_error_ = bad;
   }
 }
 
-LineReader::Got LineReader::next(std::string& line, double deadline, double gap_ms) {
+LineReader::Result LineReader::next(std::string& line, double deadline, double gap_ms) {
   for (;;) {
     decode_received();
     if (const std::size_t end = pending_.find('\n'); end != std::string::npos) {
       line.assign(pending_, 0, end);
       if (line.ends_with('\r')) line.pop_back();
       pending_.erase(0, end + 1);
-      return Got::line;
+      return Result::line;
     }
     if (decode_error_) throw *decode_error_;
     if (pending_.size() > kMaxBodyBytes) throw BadMessage(413, "line over 64 KiB");
-    if (decoder_.over()) {
-      if (pending_.empty()) return Got::end;
+    if (decoder_.complete()) {
+      if (pending_.empty()) return Result::end;
       line = std::exchange(pending_, {});
-      return Got::line;
+      return Result::line;
     }
-    switch (intake_.more(begun() ? std::min(deadline, intake_.now() + gap_ms) : deadline)) {
-      case Io::done:
+    switch (intake_.read_more(has_partial_line() ? std::min(deadline, intake_.now() + gap_ms) : deadline)) {
+      case IoResult::done:
         break;
-      case Io::late:
-        return Got::late;
-      case Io::ended:
-        return decoder_.until_close() && pending_.empty() ? Got::end : Got::broken;
-      case Io::broken:
-        return Got::broken;
+      case IoResult::timed_out:
+        return Result::timed_out;
+      case IoResult::end_of_stream:
+        return decoder_.until_close() && pending_.empty() ? Result::end : Result::failed;
+      case IoResult::failed:
+        return Result::failed;
     }
   }
 }
@@ -292,16 +295,16 @@
   return pending_.find('\n') != std::string::npos;
 }
 
-bool LineReader::skip() {
+bool LineReader::discard_received() {
   decode_received();
   if (decode_error_) throw *decode_error_;
   pending_.clear();
-  return decoder_.over();
+  return decoder_.complete();
 }
 
 bool LineReader::discard_all(double deadline) {
-  while (!skip())
-    if (intake_.more(deadline) != Io::done) return false;
+  while (!discard_received())
+    if (intake_.read_more(deadline) != IoResult::done) return false;
   return true;
 }
 
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -24,46 +24,46 @@
 };
 
 // A header field, without surrounding white space.
-struct Field {
+struct HeaderField {
   std::string_view name, value;
 };
 
 // The head of a request or response, as views into the bytes it was parsed from.
-struct Head {
+struct MessageHead {
   std::string_view method, target;  // of a request
   int status = 0;                   // of a response
   bool http10 = false;
-  std::vector<Field> fields;
+  std::vector<HeaderField> fields;
 
   // The value of the first field with this name.
   std::optional<std::string_view> find(std::string_view name) const;
   // True if a Connection field lists `name`, as an option or as a hop-by-hop field.
-  bool connection_names(std::string_view name) const;
+  bool connection_lists(std::string_view name) const;
 };
 
 // True if `text` is a token as HTTP defines it: not empty, and without separators.
 bool is_token(std::string_view text);
-bool same_name(std::string_view a, std::string_view b);  // case-insensitive, ASCII only
+bool equals_ignore_case(std::string_view a, std::string_view b);  // case-insensitive, ASCII only
 // Parses decimal digits only: no sign and no white space. nullopt for anything else, and on overflow.
-std::optional<std::uint64_t> whole_number(std::string_view text);
+std::optional<std::uint64_t> parse_unsigned(std::string_view text);
 
 // Size of the head in bytes, including the empty line that ends it; 0 while that has not arrived. Throws
 // BadMessage if the head is longer than kMaxHeadBytes.
 std::size_t head_length(std::string_view raw);
 // Parse a complete head. They throw BadMessage.
-Head read_query_head(std::string_view raw);
-Head read_answer_head(std::string_view raw);
+MessageHead parse_request_head(std::string_view raw);
+MessageHead parse_response_head(std::string_view raw);
 
 // How a body is delimited.
 struct Framing {
-  enum class Kind { length, chunked, to_end } kind = Kind::length;
+  enum class Kind { length, chunked, until_close } kind = Kind::length;
   std::uint64_t length = 0;
-  bool closes = false;  // the link ends after this message
+  bool closes_link = false;  // the link ends after this message
 };
 // Both throw BadMessage if the length of the body is ambiguous, and for requests also if Content-Length is
 // above kMaxBodyBytes.
-Framing framing_of_query(const Head& head);
-Framing framing_of_answer(const Head& head);
+Framing request_framing(const MessageHead& head);
+Framing response_framing(const MessageHead& head);
 
 // Incremental decoder: removes the framing of a body that arrives in any pieces.
 class BodyDecoder {
@@ -72,9 +72,9 @@
 
   // Passes the body's bytes in `raw` to `sink` and returns how many bytes of `raw` it consumed: all of them,
   // unless the body ends earlier. Throws BadMessage.
-  std::size_t feed(std::string_view raw, const std::function<void(std::string_view)>& sink);
+  std::size_t decode(std::string_view raw, const std::function<void(std::string_view)>& sink);
   // The body is complete. Never true if it ends with the connection.
-  bool over() const { return state_ == State::complete; }
+  bool complete() const { return state_ == State::complete; }
   // The body ends when the peer closes the connection.
   bool until_close() const { return state_ == State::until_close; }
   // The body is chunked, and no chunk has arrived in part.
@@ -90,12 +90,12 @@
 
 // Buffered input of a link: bytes that were received and not consumed yet. While there are none it holds no
 // buffer, since a worker may be silent for seconds.
-class Intake {
+class BufferedInput {
  public:
   static constexpr double kNoLimit = 1e12;  // as gap_ms
   // As a deadline: reads what has arrived, and returns IoResult::timed_out at once if there is nothing.
   static constexpr double kNoWait = -1;
-  Intake(Socket& socket, const core::Clock& clock, BufferPool& pool)
+  BufferedInput(Socket& socket, const core::Clock& clock, BufferPool& pool)
       : socket_(socket), clock_(clock), pool_(pool) {}
 
   // The bytes that were received and not consumed. Valid until read_more() is called.
@@ -103,10 +103,10 @@
     return buffer_ ? std::string_view(buffer_->data() + begin_, end_ - begin_) : std::string_view();
   }
   // Removes the first `count` bytes of view().
-  void use(std::size_t count) { begin_ += count; }
+  void consume(std::size_t count) { begin_ += count; }
   // Reads more bytes, and waits for them until `deadline` (ms on the clock). IoResult::failed if the buffer
   // is full.
-  Io more(double deadline);
+  IoResult read_more(double deadline);
   // The time on the clock, in ms.
   double now() const { return clock_.now(); }
   // Starts a new turn: at most kMaxReadsPerTurn reads with kNoWait.
@@ -117,7 +117,7 @@
   // Reads until a head is complete and returns its size. nullopt if the link ended or time ran out; `result`
   // says which. Once the head has begun, more of it must arrive within `gap_ms` of its newest byte. Throws
   // BadMessage.
-  std::optional<std::size_t> head(double deadline, Io& result, double gap_ms = kNoLimit);
+  std::optional<std::size_t> read_head(double deadline, IoResult& result, double gap_ms = kNoLimit);
 
  private:
   Socket& socket_;
@@ -132,28 +132,28 @@
 // Reads the lines of a response body, such as a worker's events or the updates of service discovery.
 class LineReader {
  public:
-  LineReader(Intake& intake, const Framing& framing) : intake_(intake), decoder_(framing) {}
+  LineReader(BufferedInput& intake, const Framing& framing) : intake_(intake), decoder_(framing) {}
 
-  enum class Got { line, end, broken, late };
+  enum class Result { line, end, failed, timed_out };
   // Result::line: `line` holds the next line without its line end; it may be empty. Result::end: the body is
   // complete. Result::failed: the link ended or failed within the body. Result::timed_out: no line was
   // complete by `deadline`, or a line or chunk that has begun did not continue within `gap_ms` of its newest
   // byte. Throws BadMessage, also for a line longer than kMaxBodyBytes.
-  Got next(std::string& line, double deadline, double gap_ms = Intake::kNoLimit);
+  Result next(std::string& line, double deadline, double gap_ms = BufferedInput::kNoLimit);
   // A line or chunk has arrived in part.
-  bool begun() const { return !pending_.empty() || !decoder_.between_chunks(); }
+  bool has_partial_line() const { return !pending_.empty() || !decoder_.between_chunks(); }
   // A complete line has been received; reads nothing more.
   bool has_line();
   // Discards what has been received of the body. True if the body is complete, so that the link can carry the
   // next message. Throws BadMessage.
-  bool skip();
+  bool discard_received();
   // Discards the whole body, and waits for it until `deadline`. False if it was not complete by then.
   bool discard_all(double deadline);
 
  private:
   void decode_received();
 
-  Intake& intake_;
+  BufferedInput& intake_;
   BodyDecoder decoder_;
   std::string pending_;                     // decoded bytes that were not returned yet
   std::optional<BadMessage> decode_error_;  // thrown after the complete lines before it were returned
--- a/src/net/line_call.cpp
+++ b/src/net/line_call.cpp
@@ -23,24 +23,24 @@
   bool closed = false;
 
   explicit ActiveCall(LineCall& line_call) : call(&line_call), unsent(line_call.line + '\n') {
-    const Address address(line_call.to);
-    socket = Socket::make(address);
+    const Address address(line_call.address);
+    socket = Socket::create(address);
     ::fcntl(socket.fd(), F_SETFL, O_NONBLOCK);
     closed =
         ::connect(socket.fd(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0 &&
         errno != EINPROGRESS;
   }
   void handle_events(short events) {
-    if (!unsent.empty() && (events & POLLOUT)) unsent.erase(0, socket.send_some({unsent}));
+    if (!unsent.empty() && (events & POLLOUT)) unsent.erase(0, socket.send_available({unsent}));
     if (!(events & (POLLIN | POLLHUP | POLLERR))) return;
     std::array<char, 16 * 1024> buffer{};
     std::size_t count = 0;
-    Io status = Io::done;
-    while ((status = socket.receive(buffer.data(), buffer.size(), count)) == Io::done)
+    IoResult status = IoResult::done;
+    while ((status = socket.receive(buffer.data(), buffer.size(), count)) == IoResult::done)
       received.append(buffer.data(), count);
-    closed = status != Io::late || received.size() > kMaxAnswerBytes;
+    closed = status != IoResult::timed_out || received.size() > kMaxAnswerBytes;
     // The server closes its side after the answer; a truncated answer has no line end at its end.
-    if (status == Io::ended && !received.empty() && received.back() == '\n') {
+    if (status == IoResult::end_of_stream && !received.empty() && received.back() == '\n') {
       received.pop_back();
       call->answer = std::move(received);
     }
@@ -71,7 +71,7 @@
   }
 }
 
-std::optional<std::string> call(const std::string& to, const std::string& line, double timeout_ms) {
+std::optional<std::string> call_line(const std::string& to, const std::string& line, double timeout_ms) {
   std::vector<LineCall> calls{{to, line, std::nullopt}};
   call_all(calls, timeout_ms);
   return calls.front().answer;
--- a/src/net/line_call.hpp
+++ b/src/net/line_call.hpp
@@ -12,7 +12,7 @@
 
 // A call with its answer.
 struct LineCall {
-  std::string to, line;               // host:port; the line without its end
+  std::string address, line;          // host:port; the line without its end
   std::optional<std::string> answer;  // without its last line end; nullopt if it was not complete in time
 };
 
@@ -20,6 +20,6 @@
 // `timeout_ms` ms in total.
 void call_all(std::vector<LineCall>& calls, double timeout_ms, std::size_t max_parallel = 64);
 // Makes a single call; nullopt if no complete answer came within `timeout_ms` ms.
-std::optional<std::string> call(const std::string& to, const std::string& line, double timeout_ms);
+std::optional<std::string> call_line(const std::string& to, const std::string& line, double timeout_ms);
 
 }  // namespace woadtide::net
--- a/src/net/management.cpp
+++ b/src/net/management.cpp
@@ -26,8 +26,8 @@
 }
 }  // namespace
 
-Management::Management(Socket listener, const core::Clock& clock, park::Park& event_loop,
-                       park::Crew& thread_pool, Answer handler)
+ManagementServer::ManagementServer(Socket listener, const core::Clock& clock, park::EventLoop& event_loop,
+                                   park::ThreadPool& thread_pool, CommandHandler handler)
     : clock_(clock),
       event_loop_(event_loop),
       thread_pool_(thread_pool),
@@ -35,37 +35,37 @@
       listener_(std::move(listener)) {
   // A connection that was closed between the notification and accept() must not block accept().
   ::fcntl(listener_.fd(), F_SETFL, O_NONBLOCK);
-  token_ = event_loop_.enter(*this, listener_.fd());
+  token_ = event_loop_.add(*this, listener_.fd());
 }
 
-Management::~Management() {
-  event_loop_.leave(token_);
+ManagementServer::~ManagementServer() {
+  event_loop_.remove(token_);
   event_loop_.quiesce();
   std::unique_lock lock(mutex_);
-  for (Connection& connection : connections_) connection.socket.shut();
+  for (Connection& connection : connections_) connection.socket.shut_down();
   connection_closed_.wait(lock, [this] { return connections_.empty(); });
 }
 
-void Management::ready(park::Signs) { late(); }
+void ManagementServer::on_ready(park::ReadinessEvents) { on_timeout(); }
 
-void Management::late() {
+void ManagementServer::on_timeout() {
   while (ensure_capacity() && accept_connection()) {
   }
 }
 
 // Accepts one connection. False if none waits, or none can be accepted now.
-bool Management::accept_connection() {
+bool ManagementServer::accept_connection() {
   Socket socket{Fd(::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
   if (!socket) {
     const AcceptError error = accept_error(errno);
-    if (error == AcceptError::machine) event_loop_.wake_at(token_, clock_.now() + kAcceptAgainMs);
-    return error == AcceptError::this_one;
+    if (error == AcceptError::system_refused) event_loop_.set_timeout(token_, clock_.now() + kAcceptRetryMs);
+    return error == AcceptError::retry_now;
   }
   const std::lock_guard lock(mutex_);
   connections_.emplace_back().socket = std::move(socket);
   const auto connection = std::prev(connections_.end());
-  if (!thread_pool_.take([this, connection] { serve(connection); }, true)) {
-    connection->socket.send_some({"error there is no thread for it now\n"});
+  if (!thread_pool_.try_submit([this, connection] { serve(connection); }, true)) {
+    connection->socket.send_available({"error there is no thread for it now\n"});
     connections_.erase(connection);
   }
   return true;
@@ -74,39 +74,40 @@
 // True if another connection may be accepted. False if all are in use, or if in that case none waits. If one
 // waits, the oldest connection without a pending answer is closed: some clients keep a connection for seconds
 // without sending a whole line, and the next command must not wait for them.
-bool Management::ensure_capacity() {
+bool ManagementServer::ensure_capacity() {
   const std::lock_guard lock(mutex_);
-  if (connections_.size() < kMostCallers) return true;
-  if (wait_for(listener_.fd(), POLLIN, -1, 0, clock_).first == 0) return false;
+  if (connections_.size() < kMaxConnections) return true;
+  if (poll_until(listener_.fd(), POLLIN, -1, 0, clock_).first == 0) return false;
   connection_waiting_ = true;
-  if (full_log_.due(clock_.now())) core::log_line("management: more callers than places");
+  if (full_log_.allow(clock_.now())) core::log_line("management: more callers than places");
   const auto evicted =
       std::find_if(connections_.begin(), connections_.end(), [](auto& c) { return !c.busy && !c.evicted; });
   const bool eviction_pending =
       std::any_of(connections_.begin(), connections_.end(), [](auto& c) { return c.evicted; });
   if (evicted != connections_.end() && !eviction_pending) {
     evicted->evicted = true;
-    evicted->socket.shut();
+    evicted->socket.shut_down();
   }
   return false;
 }
 
-void Management::serve(std::list<Connection>::iterator position) {
+void ManagementServer::serve(std::list<Connection>::iterator position) {
   Connection& connection = *position;
   try {
     std::string line;
     const bool complete = read_line(connection, line);
     const std::string answer = complete ? execute_line(line) : "error no whole line came\n";
-    const bool sent = connection.socket.send({answer}, clock_.now() + kSendTimeoutMs, clock_) == Io::done;
+    const bool sent =
+        connection.socket.send({answer}, clock_.now() + kSendTimeoutMs, clock_) == IoResult::done;
     set_busy(connection, false);
     if (sent) {
       // Closing with unread input would reset the connection and could discard the answer.
-      connection.socket.shut(SHUT_WR);
+      connection.socket.shut_down(SHUT_WR);
       std::array<char, 256> discarded{};
       std::size_t received = 0;
       const double deadline = clock_.now() + kSendTimeoutMs;
       while (connection.socket.receive(discarded.data(), discarded.size(), received, deadline, clock_) ==
-                 Io::done &&
+                 IoResult::done &&
              clock_.now() < deadline) {
       }
     }
@@ -115,18 +116,18 @@
   }
   const std::lock_guard lock(mutex_);
   connections_.erase(position);
-  if (std::exchange(connection_waiting_, false)) event_loop_.poke(token_, {});
+  if (std::exchange(connection_waiting_, false)) event_loop_.wake(token_, {});
   connection_closed_.notify_all();
 }
 
 // A line without its end is rejected: a truncated id could be that of another worker.
-bool Management::read_line(Connection& connection, std::string& line) {
+bool ManagementServer::read_line(Connection& connection, std::string& line) {
   const double deadline = clock_.now() + kLineTimeoutMs;
   std::array<char, kMaxLineBytes> buffer{};
   for (std::size_t end = std::string::npos; end == std::string::npos; end = line.find('\n')) {
     std::size_t received = 0;
     if (line.size() >= kMaxLineBytes ||
-        connection.socket.receive(buffer.data(), buffer.size(), received, deadline, clock_) != Io::done)
+        connection.socket.receive(buffer.data(), buffer.size(), received, deadline, clock_) != IoResult::done)
       return false;
     line.append(buffer.data(), received);
   }
@@ -135,12 +136,12 @@
   return true;
 }
 
-void Management::set_busy(Connection& connection, bool busy) {
+void ManagementServer::set_busy(Connection& connection, bool busy) {
   const std::lock_guard lock(mutex_);
   connection.busy = busy;
 }
 
-std::string Management::execute_line(std::string_view line) const {
+std::string ManagementServer::execute_line(std::string_view line) const {
   const std::string_view command = take_word(line), argument = take_word(line);
   if (!take_word(line).empty()) return "error a call has one argument at most\n";
   return handler_(command, argument);
--- a/src/net/management.hpp
+++ b/src/net/management.hpp
@@ -17,20 +17,20 @@
 namespace woadtide::net {
 
 // Accepts connections on the management address and answers their commands on threads of the thread pool.
-class Management : private park::Guest {
+class ManagementServer : private park::EventHandler {
  public:
-  static constexpr std::size_t kMostCallers = 12;  // each needs a descriptor; two more are needed besides
+  static constexpr std::size_t kMaxConnections = 12;  // each needs a descriptor; two more are needed besides
   // Executes command `call` with its argument, which may be empty, and returns the answer as complete lines.
   // Called on pool threads.
-  using Answer = std::function<std::string(std::string_view call, std::string_view argument)>;
+  using CommandHandler = std::function<std::string(std::string_view call, std::string_view argument)>;
 
   // `listener` is a listening socket. All references must outlive this object.
-  Management(Socket listener, const core::Clock& clock, park::Park& event_loop, park::Crew& thread_pool,
-             Answer handler);
+  ManagementServer(Socket listener, const core::Clock& clock, park::EventLoop& event_loop,
+                   park::ThreadPool& thread_pool, CommandHandler handler);
   // Shuts all connections down and waits for their threads.
-  ~Management() override;
-  Management(const Management&) = delete;
-  Management& operator=(const Management&) = delete;
+  ~ManagementServer() override;
+  ManagementServer(const ManagementServer&) = delete;
+  ManagementServer& operator=(const ManagementServer&) = delete;
 
  private:
   struct Connection {
@@ -38,8 +38,8 @@
     bool busy = false, evicted = false;  // busy: the command line is complete and its answer is pending
   };
 
-  void ready(park::Signs events) override;
-  void late() override;
+  void on_ready(park::ReadinessEvents events) override;
+  void on_timeout() override;
   bool accept_connection();
   bool ensure_capacity();
   void serve(std::list<Connection>::iterator connection);
@@ -48,16 +48,16 @@
   std::string execute_line(std::string_view line) const;
 
   const core::Clock& clock_;
-  park::Park& event_loop_;
-  park::Crew& thread_pool_;
-  const Answer handler_;
+  park::EventLoop& event_loop_;
+  park::ThreadPool& thread_pool_;
+  const CommandHandler handler_;
   Socket listener_;
   std::mutex mutex_;
   std::condition_variable connection_closed_;
   std::list<Connection> connections_;  // oldest first
   bool connection_waiting_ = false;    // a connection waits to be accepted
-  core::Seldom full_log_;
-  park::Park::Token token_ = park::Park::kNone;
+  core::LogRateLimit full_log_;
+  park::EventLoop::Token token_ = park::EventLoop::kNoToken;
 };
 
 }  // namespace woadtide::net
--- a/src/net/message_reader.cpp
+++ b/src/net/message_reader.cpp
@@ -14,7 +14,7 @@
   return true;
 }
 
-std::span<char> MessageReader::room() {
+std::span<char> MessageReader::free_space() {
   const bool first = !storage_;
   if ((first || size_ == kBufferBytes) && !add_buffer()) return {};
   char* const data = storage_->buffers.back().data();
@@ -27,26 +27,26 @@
 
 // The body is stored right behind the head, then in further buffers. Chunk framing is removed, so the write
 // position never passes the position of the input that is being decoded.
-bool MessageReader::came(std::size_t count) {
+bool MessageReader::bytes_received(std::size_t count) {
   char* const data = storage_->buffers.back().data();
   size_ += count;
   if (!decoder_) {
     const std::size_t length = head_length({data, size_});
     if (length == 0) return false;
-    message_.head = read_query_head({data, length});
-    const Framing framing = framing_of_query(message_.head);
-    message_.closes = framing.closes;
-    expects_continue_ = same_name(message_.head.find("Expect").value_or(""), "100-continue");
+    message_.head = parse_request_head({data, length});
+    const Framing framing = request_framing(message_.head);
+    message_.closes_link = framing.closes_link;
+    expects_continue_ = equals_ignore_case(message_.head.find("Expect").value_or(""), "100-continue");
     decoder_.emplace(framing);
     body_offset_ = parsed_ = length;
   }
-  parsed_ += decoder_->feed({data + parsed_, size_ - parsed_}, [&](std::string_view piece) {
+  parsed_ += decoder_->decode({data + parsed_, size_ - parsed_}, [&](std::string_view piece) {
     if (body_size_ + piece.size() > kMaxBodyBytes) throw BadMessage(413, "body over 64 KiB");
     std::memmove(data + body_offset_ + piece_size_, piece.data(), piece.size());
     piece_size_ += piece.size();
     body_size_ += piece.size();
   });
-  const bool complete = decoder_->over();
+  const bool complete = decoder_->complete();
   if (complete || body_offset_ + piece_size_ == kBufferBytes)
     message_.body.emplace_back(data + body_offset_, piece_size_);
   if (complete)
@@ -56,8 +56,8 @@
   return complete;
 }
 
-Message MessageReader::take() {
-  message_.hold = std::exchange(storage_, nullptr);
+IncomingMessage MessageReader::take() {
+  message_.storage = std::exchange(storage_, nullptr);
   decoder_.reset();
   size_ = parsed_ = body_offset_ = piece_size_ = body_size_ = 0;
   expects_continue_ = false;
@@ -65,7 +65,7 @@
 }
 
 void MessageReader::release_empty_buffer() {
-  if (!begun()) storage_.reset();
+  if (!has_partial_message()) storage_.reset();
 }
 
 }  // namespace woadtide::net
--- a/src/net/query_head.cpp
+++ b/src/net/query_head.cpp
@@ -78,31 +78,33 @@
 
 bool is_one_of(std::string_view name, std::initializer_list<std::string_view> names) {
   return std::any_of(names.begin(), names.end(),
-                     [&](std::string_view candidate) { return same_name(candidate, name); });
+                     [&](std::string_view candidate) { return equals_ignore_case(candidate, name); });
 }
 
 // Rejects fields that the decision loop or a worker evaluates if they occur twice, or if Connection names
 // them as hop-by-hop. They could then be read in two ways, and the worker could run another query than the
 // one that was decided on.
-void check_unambiguous(const Head& head) {
+void check_unambiguous(const MessageHead& head) {
   const std::initializer_list<std::string_view> single_fields = {
       "Host", "X-Call-Id", "X-Call-Class", "X-Budget", "X-Call-Cost", "X-Call-Info", "X-Again"};
   for (auto field = head.fields.begin(); field != head.fields.end(); ++field) {
     if (!is_one_of(field->name, single_fields)) continue;
-    const auto same_field = [&](const Field& other) { return same_name(other.name, field->name); };
-    if (std::any_of(field + 1, head.fields.end(), same_field) || head.connection_names(field->name))
+    const auto same_field = [&](const HeaderField& other) {
+      return equals_ignore_case(other.name, field->name);
+    };
+    if (std::any_of(field + 1, head.fields.end(), same_field) || head.connection_lists(field->name))
       throw BadMessage(400, std::string(field->name) + " is ambiguous");
   }
 }
 
 }  // namespace
 
-bool is_passed_on(std::string_view name) {
+bool is_forwarded_field(std::string_view name) {
   return !is_one_of(name, {"Host", "Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Upgrade",
                            "Transfer-Encoding", "Expect", "Content-Length", "X-Budget"});
 }
 
-void read_figures(const Head& head, core::Query& query, double received) {
+void parse_query_fields(const MessageHead& head, core::Query& query, double received) {
   check_unambiguous(head);
   const auto class_name = head.find("X-Call-Class"), budget = head.find("X-Budget");
   if (!class_name) throw BadMessage(400, "X-Call-Class is missing");
