--- a/src/net/server_links.cpp
+++ b/src/net/server_links.cpp
@@ -108,11 +108,11 @@
 
 std::string request_head(const core::Execution& execution, const std::string& dial,
                          double advertised_budget_ms) {
-  const core::Parcel& payload = execution.parcel;
+  const core::Payload& payload = execution.payload;
   std::string head;
-  head.reserve(payload.target.size() + payload.fields.size() + 160);
+  head.reserve(payload.target.size() + payload.header_fields.size() + 160);
   head.append(payload.method).append(" ").append(payload.target).append(" HTTP/1.1\r\nHost: ").append(dial);
-  head.append("\r\n").append(payload.fields);
+  head.append("\r\n").append(payload.header_fields);
   head.append("X-Budget: ").append(std::to_string(std::llround(advertised_budget_ms))).append("m\r\n");
   std::size_t body_size = 0;
   for (const std::string_view piece : payload.body) body_size += piece.size();
@@ -123,8 +123,8 @@
 }  // namespace
 
 ServerLinks::ServerLinks(Limits limits, core::Clock& clock, core::Inbox& inbox,
-                         const HostGroup& endpoint_list, BufferPool& buffer_pool, park::Park& event_loop,
-                         park::Crew& thread_pool)
+                         const EndpointListClient& endpoint_list, BufferPool& buffer_pool,
+                         park::EventLoop& event_loop, park::ThreadPool& thread_pool)
     : limits_(limits),
       clock_(clock),
       inbox_(inbox),
@@ -138,7 +138,7 @@
     std::unique_lock lock(mutex_);
     for (const auto& link : links_) {
       link->cancelled = true;
-      if (link->socket) link->socket.shut();
+      if (link->socket) link->socket.shut_down();
     }
     sending_done_.wait(lock, [this] { return sending_count_ == 0; });
     while (!links_.empty()) close_link(*links_.front());
@@ -153,13 +153,13 @@
 void ServerLinks::probe(const std::string& worker) {
   core::Execution execution;
   execution.worker = worker;
-  execution.parcel.method = "GET";
-  execution.parcel.target = "/stats";
+  execution.payload.method = "GET";
+  execution.payload.target = "/stats";
   execution.deadline = clock_.now() + kProbeTimeoutMs;
   start_task(std::move(execution), true);
 }
 
-void ServerLinks::exclude(const std::string& worker, bool excluded) {
+void ServerLinks::set_excluded(const std::string& worker, bool excluded) {
   const std::lock_guard lock(mutex_);
   if (excluded)
     excluded_workers_.insert(worker);
@@ -169,15 +169,15 @@
 
 void ServerLinks::start_task(core::Execution execution, bool is_probe) {
   const auto endpoint = endpoint_list_.find(execution.worker);
-  Task task{std::move(execution), is_probe, endpoint.value_or(HostGroup::Known{})};
+  Task task{std::move(execution), is_probe, endpoint.value_or(EndpointListClient::ResolvedEndpoint{})};
   if (!endpoint) return deliver(task, {Status::connect_failed});
   const auto link = acquire_link(task);
   // The link limit is reached: nothing was sent, and it says nothing about the worker.
-  if (!link) return deliver(task, {Status::moot});
+  if (!link) return deliver(task, {Status::not_started});
   link->task = std::move(task);
-  if (thread_pool_.take([this, link] { run_task(*link); })) return;
+  if (thread_pool_.try_submit([this, link] { run_task(*link); })) return;
   // No thread is available either; the thread pool has logged that.
-  deliver(link->task, {Status::moot});
+  deliver(link->task, {Status::not_started});
   const std::lock_guard lock(mutex_);
   sending_count_ -= 1;
   release_link(*link, static_cast<bool>(link->socket));
@@ -188,9 +188,9 @@
   const std::lock_guard lock(mutex_);
   Link* link = take_idle_link(task);
   if (!link) {
-    if (!evict_idle_links(limits_.most - 1)) {
-      if (busy_log_.due(clock_.now()))
-        core::log_line("server links: all " + std::to_string(limits_.most) + " are busy");
+    if (!evict_idle_links(limits_.max_links - 1)) {
+      if (busy_log_.allow(clock_.now()))
+        core::log_line("server links: all " + std::to_string(limits_.max_links) + " are busy");
       return nullptr;
     }
     const auto new_link = std::make_shared<Link>(*this);
@@ -214,7 +214,7 @@
     const auto idle = idle_.find(task.execution.worker);
     if (idle == idle_.end()) return nullptr;
     Link* const link = idle->second.back();
-    if (link->dial == task.endpoint.dial && link->socket.quiet()) {
+    if (link->dial == task.endpoint.dial && link->socket.is_idle()) {
       remove_from_idle(*link);
       return link;
     }
@@ -240,9 +240,9 @@
   return true;
 }
 
-void ServerLinks::set_most(std::size_t max_links) {
+void ServerLinks::set_max_links(std::size_t max_links) {
   const std::lock_guard lock(mutex_);
-  limits_.most = max_links;
+  limits_.max_links = max_links;
   evict_idle_links(max_links);
 }
 
@@ -250,7 +250,7 @@
   if (link.phase == Phase::closed) return;
   if (link.phase == Phase::idle) remove_from_idle(link);
   link.phase = Phase::closed;
-  event_loop_.leave(link.token);
+  event_loop_.remove(link.token);
   links_.erase(link.position);
 }
 
@@ -260,7 +260,7 @@
   link.phase = Phase::idle;
   link.idle_since = clock_.now();
   idle_[link.worker].push_back(&link);
-  event_loop_.wake_at(link.token, link.idle_since + limits_.idle_ms);
+  event_loop_.set_timeout(link.token, link.idle_since + limits_.idle_timeout_ms);
 }
 
 void ServerLinks::cancel(const core::ExecutionKey& key) {
@@ -268,7 +268,7 @@
   for (const auto& link : links_) {
     if (link->phase == Phase::idle || link->key != key) continue;
     link->cancelled = true;
-    if (link->socket) link->socket.shut();
+    if (link->socket) link->socket.shut_down();
   }
 }
 
@@ -278,7 +278,7 @@
   for (const auto& link : links_) {
     if (link->phase != Phase::sending || link->key != key) continue;
     link->cancelled = link->withdrawn = true;
-    if (link->socket) link->socket.shut();
+    if (link->socket) link->socket.shut_down();
   }
 }
 
@@ -291,11 +291,11 @@
   } catch (const std::exception& error) {
     // A local error before the last byte was sent: nothing ran, and it says nothing about the worker.
     log_local_failure(error.what());
-    outcome = Outcome{Status::moot};
+    outcome = Outcome{Status::not_started};
   }
   // The sent count need not wake the decision loop; it is read with the next message.
   const bool report_sent = !outcome && !link.task.is_probe;
-  if (report_sent) inbox_.put(core::ExecutionSent{link.task.execution.key}, core::Inbox::Call::with_next);
+  if (report_sent) inbox_.push(core::ExecutionSent{link.task.execution.key}, core::Inbox::Notify::with_next);
   if (outcome) deliver(link.task, std::move(*outcome));
   const std::lock_guard lock(mutex_);
   sending_count_ -= 1;
@@ -305,8 +305,8 @@
   link.intake.emplace(link.socket, clock_, buffer_pool_);
   link.response_deadline = link.task.execution.deadline + kCancelBackstopMs;
   link.phase = Phase::awaiting_response;
-  event_loop_.wake_at(link.token, link.response_deadline);
-  if (link.unprocessed_event || link.cancelled) event_loop_.poke(link.token, {.readable = true});
+  event_loop_.set_timeout(link.token, link.response_deadline);
+  if (link.unprocessed_event || link.cancelled) event_loop_.wake(link.token, {.readable = true});
 }
 
 // Connects if needed and sends the query. Returns an outcome if the last byte was not sent: then nothing ran.
@@ -320,26 +320,27 @@
     auto outcome = send_query(link, reused);
     if (retried || !outcome || outcome->status != Status::connect_failed) return outcome;
     const std::lock_guard lock(mutex_);
-    event_loop_.leave(std::exchange(link.token, park::Park::kNone));
+    event_loop_.remove(std::exchange(link.token, park::EventLoop::kNoToken));
     link.socket = Socket{};
   }
 }
 
 std::optional<ServerLinks::Outcome> ServerLinks::connect(Link& link) {
-  const double deadline = std::min(clock_.now() + limits_.connect_ms, link.task.execution.deadline);
+  const double deadline = std::min(clock_.now() + limits_.connect_timeout_ms, link.task.execution.deadline);
   ConnectError error = try_connect(link, deadline);
   for (int attempts = 1; attempts < kMaxConnectAttempts; ++attempts) {
     // An error reported by the peer is final. A condition of this machine or of the network may pass in a
     // moment.
-    const bool is_transient = error == ConnectError::own || error == ConnectError::unreachable;
+    const bool is_transient = error == ConnectError::local_shortage || error == ConnectError::unreachable;
     if (!is_transient || is_cancelled(link) || clock_.now() + kConnectRetryDelayMs >= deadline) break;
     ::poll(nullptr, 0, static_cast<int>(kConnectRetryDelayMs));
     error = try_connect(link, deadline);
   }
   if (error != ConnectError::none)
-    return link_failure(link, error == ConnectError::own ? Status::moot : Status::connect_failed);
+    return link_failure(link,
+                        error == ConnectError::local_shortage ? Status::not_started : Status::connect_failed);
   const std::lock_guard lock(mutex_);
-  link.token = event_loop_.enter(link.shared_from_this(), link.socket.fd());
+  link.token = event_loop_.add(link.shared_from_this(), link.socket.fd());
   return std::nullopt;
 }
 
@@ -348,26 +349,26 @@
   const Address& address = link.task.endpoint.address;
   Socket new_socket;
   try {
-    new_socket = Socket::make(address);
+    new_socket = Socket::create(address);
   } catch (const std::system_error& error) {
     log_local_failure(error.what());
-    return ConnectError::own;
+    return ConnectError::local_shortage;
   }
   {
     const std::lock_guard lock(mutex_);
-    if (link.cancelled) return ConnectError::own;
+    if (link.cancelled) return ConnectError::local_shortage;
     link.socket = std::move(new_socket);
   }
   const double started_at = clock_.now();
   const ConnectError error = link.socket.try_connect(address, deadline - started_at);
   link.last_byte_delay_ms =
-      limits_.settle_ms + std::min(2 * (clock_.now() - started_at), kMaxRoundTripDelayMs);
+      limits_.last_byte_delay_ms + std::min(2 * (clock_.now() - started_at), kMaxRoundTripDelayMs);
   return error;
 }
 
 void ServerLinks::log_local_failure(const char* message) {
   const std::lock_guard lock(mutex_);
-  if (local_failure_log_.due(clock_.now())) core::log_line(std::string("server link: ") + message);
+  if (local_failure_log_.allow(clock_.now())) core::log_line(std::string("server link: ") + message);
 }
 
 bool ServerLinks::is_cancelled(const Link& link) {
@@ -385,26 +386,26 @@
   // to a worker that drains or is excluded. It says nothing about the worker.
   const auto endpoint = endpoint_list_.find(execution.worker);
   if (!endpoint || endpoint->entry.state != woadtide::WorkerState::ready || is_excluded(execution.worker))
-    return Outcome{Status::moot};
+    return Outcome{Status::not_started};
   // Nor may a repeat be sent that its worker would no longer recognise as one, because connecting or queueing
   // took too long.
-  if (clock_.now() + link.last_byte_delay_ms > execution.not_after) return Outcome{Status::moot};
+  if (clock_.now() + link.last_byte_delay_ms > execution.not_after) return Outcome{Status::not_started};
   link.advertised_budget_ms = std::max(execution.deadline - clock_.now(), 0.0);
   const std::string head = request_head(execution, task.endpoint.dial, link.advertised_budget_ms);
   std::vector<std::string_view> parts{head};
-  for (const std::string_view piece : execution.parcel.body)
+  for (const std::string_view piece : execution.payload.body)
     if (!piece.empty()) parts.push_back(piece);
   const std::string_view last = parts.back().substr(parts.back().size() - 1);
   parts.back().remove_suffix(1);
   const double deadline = execution.deadline + kCancelBackstopMs;
-  if (link.socket.send(parts, deadline, clock_) != Io::done ||
+  if (link.socket.send(parts, deadline, clock_) != IoResult::done ||
       !link.socket.stays_open(link.last_byte_delay_ms))
     return link_failure(link, Status::connect_failed);
   // Bytes on a reused link before its query is complete belong to an earlier query: the worker has answered
   // twice.
-  if (reused && !link.socket.quiet()) return link_failure(link, Status::connect_failed);
+  if (reused && !link.socket.is_idle()) return link_failure(link, Status::connect_failed);
   if (auto outcome = commit(link)) return outcome;
-  if (link.socket.send({last}, deadline, clock_) != Io::done)
+  if (link.socket.send({last}, deadline, clock_) != IoResult::done)
     return link_failure(link, Status::connect_failed);
   return std::nullopt;
 }
@@ -417,22 +418,23 @@
   const std::lock_guard lock(mutex_);
   if (link.cancelled) return outcome_after_cancel(link, Status::cancelled);
   const double now = clock_.now();
-  if (now > std::min(execution.deadline, execution.not_after)) return Outcome{Status::moot};
-  if (link.advertised_budget_ms > execution.deadline - now + kBudgetSlackMs) return Outcome{Status::moot};
+  if (now > std::min(execution.deadline, execution.not_after)) return Outcome{Status::not_started};
+  if (link.advertised_budget_ms > execution.deadline - now + kBudgetSlackMs)
+    return Outcome{Status::not_started};
   link.phase = Phase::committed;
   return std::nullopt;
 }
 
 // Outcome of a response other than 200. Only a 503 or 504 with `X-Rejected: 1` proves that nothing ran. A 4xx
 // is caused by the query.
-ServerLinks::Outcome ServerLinks::outcome_for_status(const Head& head) {
+ServerLinks::Outcome ServerLinks::outcome_for_status(const MessageHead& head) {
   const bool rejected = head.find("X-Rejected") == "1" && (head.status == 503 || head.status == 504);
   return {rejected ? Status::full : Status::error, {}, head.status >= 400 && head.status < 500};
 }
 
 // After the last byte, on the event loop thread: the execution may have run --------------------------------
 
-void ServerLinks::handle_readiness(Link& link, park::Signs events) {
+void ServerLinks::handle_readiness(Link& link, park::ReadinessEvents events) {
   Phase phase = Phase::closed;
   {
     const std::lock_guard lock(mutex_);
@@ -440,7 +442,7 @@
     const bool has_input = events.readable || events.closed;
     if (phase == Phase::sending || phase == Phase::committed) link.unprocessed_event |= has_input;
     // Closed by the worker, or unsolicited bytes.
-    if (phase == Phase::idle && has_input && !link.socket.quiet()) close_link(link);
+    if (phase == Phase::idle && has_input && !link.socket.is_idle()) close_link(link);
     if (!has_input) return;
   }
   if (phase == Phase::discarding_tail) {
@@ -452,10 +454,12 @@
   }
   if (phase != Phase::awaiting_response || process_available_input(link)) return;
   const double deadline = link.task.execution.deadline + kCancelBackstopMs;
-  const bool message_begun = link.body_lines ? link.body_lines->begun() : !link.intake->view().empty();
+  const bool message_begun =
+      link.body_lines ? link.body_lines->has_partial_line() : !link.intake->view().empty();
   link.response_deadline =
       message_begun ? std::min(deadline, clock_.now() + kPartialLineTimeoutMs) : deadline;
-  event_loop_.wake_at(link.token, link.intake->starved() ? clock_.now() + kGoOnMs : link.response_deadline);
+  event_loop_.set_timeout(
+      link.token, link.intake->starved() ? clock_.now() + kResumeReadDelayMs : link.response_deadline);
 }
 
 void ServerLinks::handle_timeout(Link& link) {
@@ -470,7 +474,8 @@
     link.body_lines.reset();
     return finish(link, link_failure(link, Status::reset));
   }
-  event_loop_.wake_at(link.token, link.intake->starved() ? now + kGoOnMs : link.response_deadline);
+  event_loop_.set_timeout(link.token,
+                          link.intake->starved() ? now + kResumeReadDelayMs : link.response_deadline);
 }
 
 // Reads all that has been received. True if that completed the execution.
@@ -491,8 +496,8 @@
 // A malformed rest of the body makes the link unusable, but does not affect the result before it.
 bool ServerLinks::discard_rest_of_body(Link& link) {
   try {
-    while (!link.body_lines->skip())
-      if (link.intake->more(Intake::kNoWait) != Io::done) return false;
+    while (!link.body_lines->discard_received())
+      if (link.intake->read_more(BufferedInput::kNoWait) != IoResult::done) return false;
     link.body_lines.reset();
     link.intake.reset();
     return true;
@@ -516,7 +521,7 @@
       release_link(link, reusable);
     } else if (link.phase == Phase::awaiting_response) {
       link.phase = Phase::discarding_tail;
-      event_loop_.wake_at(link.token, clock_.now() + kBodyTailTimeoutMs);
+      event_loop_.set_timeout(link.token, clock_.now() + kBodyTailTimeoutMs);
     }
   }
   deliver(task, std::move(outcome));
@@ -525,18 +530,18 @@
 std::optional<ServerLinks::Outcome> ServerLinks::read_response(Link& link) {
   try {
     while (!link.body_lines) {
-      Io read_status = Io::done;
-      const auto length = link.intake->head(Intake::kNoWait, read_status);
-      if (!length && read_status == Io::late) return std::nullopt;
+      IoResult read_status = IoResult::done;
+      const auto length = link.intake->read_head(BufferedInput::kNoWait, read_status);
+      if (!length && read_status == IoResult::timed_out) return std::nullopt;
       if (!length) return link_failure(link, Status::reset);
-      const Head head = read_answer_head(link.intake->view().substr(0, *length));
-      const Framing framing = framing_of_answer(head);
+      const MessageHead head = parse_response_head(link.intake->view().substr(0, *length));
+      const Framing framing = response_framing(head);
       const int status = head.status;
       Outcome outcome = outcome_for_status(head);
       outcome.load_report = head.find("X-Load-Report").value_or("");
-      link.intake->use(*length);
+      link.intake->consume(*length);
       if (status < 200) continue;
-      link.closes_after_response = framing.closes;
+      link.closes_after_response = framing.closes_link;
       link.body_lines.emplace(*link.intake, framing);
       if (status == 200) break;
       if (link.closes_after_response) link.body_lines.reset();
@@ -555,9 +560,9 @@
   const core::ExecutionKey& key = link.task.execution.key;
   std::string line;
   for (;;) {
-    const auto line_status = link.body_lines->next(line, Intake::kNoWait);
-    if (line_status == LineReader::Got::late) return std::nullopt;
-    if (line_status != LineReader::Got::line) return link_failure(link, Status::reset);
+    const auto line_status = link.body_lines->next(line, BufferedInput::kNoWait);
+    if (line_status == LineReader::Result::timed_out) return std::nullopt;
+    if (line_status != LineReader::Result::line) return link_failure(link, Status::reset);
     if (line.empty()) continue;
     if (link.task.is_probe) return Outcome{Status::ok, std::move(line)};
     WorkerEvent event;
@@ -566,9 +571,9 @@
       throw BadMessage(400, "not an event of this execution");
     const std::string& state = event.state;
     // If the final event has been received too, the decision loop is woken once for both.
-    const auto call = link.body_lines->has_line() ? core::Inbox::Call::with_next : core::Inbox::Call::now;
-    if (state == "started") inbox_.put_hint(core::ExecutionStarted{key}, call);
-    if (state == "running") inbox_.put_hint(core::ExecutionProgress{key}, call);
+    const auto call = link.body_lines->has_line() ? core::Inbox::Notify::with_next : core::Inbox::Notify::now;
+    if (state == "started") inbox_.push_hint(core::ExecutionStarted{key}, call);
+    if (state == "running") inbox_.push_hint(core::ExecutionProgress{key}, call);
     if (state == "failed") return Outcome{Status::error, {}, false, true, std::move(event.load)};
     if (state == "returned") return Outcome{Status::full, {}, false, false, std::move(event.load)};
     if (state == "lost") return Outcome{Status::reset, {}, false, false, std::move(event.load)};
@@ -586,7 +591,7 @@
 
 // Called with the mutex held.
 ServerLinks::Outcome ServerLinks::outcome_after_cancel(const Link& link, Status default_status) {
-  return {link.withdrawn ? Status::moot : link.cancelled ? Status::cancelled : default_status};
+  return {link.withdrawn ? Status::not_started : link.cancelled ? Status::cancelled : default_status};
 }
 
 bool ServerLinks::is_excluded(const std::string& worker) {
@@ -596,11 +601,11 @@
 
 void ServerLinks::deliver(const Task& task, Outcome outcome) {
   if (task.is_probe)
-    inbox_.put(core::ProbeEnded{task.execution.worker, outcome.status, std::move(outcome.result)});
+    inbox_.push(core::ProbeEnded{task.execution.worker, outcome.status, std::move(outcome.result)});
   else
-    inbox_.put(core::ExecutionEnded{task.execution.key, outcome.status, std::move(outcome.result),
-                                    outcome.bad_query, outcome.worker_failed,
-                                    std::move(outcome.load_report)});
+    inbox_.push(core::ExecutionEnded{task.execution.key, outcome.status, std::move(outcome.result),
+                                     outcome.bad_query, outcome.worker_failed,
+                                     std::move(outcome.load_report)});
 }
 
 }  // namespace woadtide::net
--- a/src/net/server_links.hpp
+++ b/src/net/server_links.hpp
@@ -30,15 +30,16 @@
  public:
   // Bounds on links; times in ms.
   struct Limits {
-    std::size_t most = 300;   // open links at once, idle ones included
-    double connect_ms = 250;  // timeout of a connect
-    double idle_ms = 30'000;  // an idle link is closed after this time, well before the worker would close it
-    double settle_ms = 1;     // base delay before the last byte of a query is sent, see send_query()
+    std::size_t max_links = 300;      // open links at once, idle ones included
+    double connect_timeout_ms = 250;  // timeout of a connect
+    double idle_timeout_ms =
+        30'000;  // an idle link is closed after this time, well before the worker would close it
+    double last_byte_delay_ms = 1;  // base delay before the last byte of a query is sent, see send_query()
   };
 
   // All references must outlive this object. `endpoint_list` resolves worker names to addresses.
-  ServerLinks(Limits limits, core::Clock& clock, core::Inbox& inbox, const HostGroup& endpoint_list,
-              BufferPool& buffer_pool, park::Park& event_loop, park::Crew& thread_pool);
+  ServerLinks(Limits limits, core::Clock& clock, core::Inbox& inbox, const EndpointListClient& endpoint_list,
+              BufferPool& buffer_pool, park::EventLoop& event_loop, park::ThreadPool& thread_pool);
   // Shuts all links down and waits for the threads that use them. No outcome is posted afterwards.
   ~ServerLinks() override;
   ServerLinks(const ServerLinks&) = delete;
@@ -53,16 +54,16 @@
   // Requests the worker's load report (GET /stats). The outcome is posted as core::ProbeEnded.
   void probe(const std::string& worker) override;
   // Prevents or allows new executions on this worker, including those that are connecting now.
-  void exclude(const std::string& worker, bool excluded) override;
+  void set_excluded(const std::string& worker, bool excluded) override;
   // Changes the maximum number of open links; closes idle links above it.
-  void set_most(std::size_t max_links);
+  void set_max_links(std::size_t max_links);
 
  private:
   // An execution or probe together with the endpoint that it was resolved to.
   struct Task {
     core::Execution execution;
     bool is_probe = false;
-    HostGroup::Known endpoint;
+    EndpointListClient::ResolvedEndpoint endpoint;
   };
   // How a task ended.
   struct Outcome {
@@ -81,10 +82,10 @@
   // also -> closed; sending and awaiting_response also -> idle.
   enum class Phase { idle, sending, committed, awaiting_response, discarding_tail, closed };
   // One connection to a worker.
-  struct Link : park::Guest, std::enable_shared_from_this<Link> {
+  struct Link : park::EventHandler, std::enable_shared_from_this<Link> {
     explicit Link(ServerLinks& server_links) : owner(server_links) {}
-    void ready(park::Signs events) override { owner.handle_readiness(*this, events); }
-    void late() override { owner.handle_timeout(*this); }
+    void on_ready(park::ReadinessEvents events) override { owner.handle_readiness(*this, events); }
+    void on_timeout() override { owner.handle_timeout(*this); }
 
     ServerLinks& owner;
     std::string worker, dial;
@@ -97,18 +98,18 @@
     double idle_since = 0;
     core::ExecutionKey key;  // of the current task
     std::list<std::shared_ptr<Link>>::iterator position;
-    park::Park::Token token = park::Park::kNone;
+    park::EventLoop::Token token = park::EventLoop::kNoToken;
     // Used by the owner of the current phase:
     Task task;
     double last_byte_delay_ms = 0;    // a broken link shows an error this long after a query's first bytes
     double advertised_budget_ms = 0;  // the X-Budget value sent to the worker
     double response_deadline = 0;     // the response must progress before this time
-    std::optional<Intake> intake;
+    std::optional<BufferedInput> intake;
     std::optional<LineReader> body_lines;  // of the response body
     bool closes_after_response = false;    // the link cannot be reused after this response
   };
 
-  static Outcome outcome_for_status(const Head& head);
+  static Outcome outcome_for_status(const MessageHead& head);
   void start_task(core::Execution execution, bool is_probe);
   std::shared_ptr<Link> acquire_link(const Task& task);
   Link* take_idle_link(const Task& task);
@@ -127,7 +128,7 @@
   std::optional<Outcome> commit(Link& link);
 
   // Called on the event loop thread.
-  void handle_readiness(Link& link, park::Signs events);
+  void handle_readiness(Link& link, park::ReadinessEvents events);
   void handle_timeout(Link& link);
   bool process_available_input(Link& link);
   bool discard_rest_of_body(Link& link);
@@ -145,17 +146,17 @@
   Limits limits_;  // `max_links` is guarded by the mutex
   core::Clock& clock_;
   core::Inbox& inbox_;
-  const HostGroup& endpoint_list_;
+  const EndpointListClient& endpoint_list_;
   BufferPool& buffer_pool_;
-  park::Park& event_loop_;
-  park::Crew& thread_pool_;
+  park::EventLoop& event_loop_;
+  park::ThreadPool& thread_pool_;
   std::mutex mutex_;
   std::condition_variable sending_done_;
   std::list<std::shared_ptr<Link>> links_;
   std::map<std::string, std::vector<Link*>> idle_;  // by worker, newest last; no entry is empty
   std::size_t sending_count_ = 0;                   // tasks that hold a pool thread
   std::set<std::string> excluded_workers_;          // excluded by an operator
-  core::Seldom busy_log_, local_failure_log_;
+  core::LogRateLimit busy_log_, local_failure_log_;
 };
 
 }  // namespace woadtide::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -44,8 +44,8 @@
   ::freeaddrinfo(found);
 }
 
-std::pair<short, short> wait_for(int fd, short events, int other_fd, double deadline,
-                                 const core::Clock& clock) {
+std::pair<short, short> poll_until(int fd, short events, int other_fd, double deadline,
+                                   const core::Clock& clock) {
   for (;;) {
     std::array<pollfd, 2> fds{pollfd{fd, events, 0}, pollfd{other_fd, POLLIN, 0}};
     const double remaining_ms = std::clamp(std::ceil(deadline - clock.now()), 0.0, 1e9);
@@ -56,7 +56,7 @@
   }
 }
 
-Socket Socket::make(const Address& address) {
+Socket Socket::create(const Address& address) {
   Socket socket{Fd(::socket(address.storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0))};
   if (!socket) throw_errno("socket");
   socket.set_no_delay();
@@ -66,7 +66,7 @@
 void Socket::set_no_delay() const { set_option(fd(), IPPROTO_TCP, TCP_NODELAY, 1); }
 
 Socket Socket::listen_at(const Address& address) {
-  Socket socket = make(address);
+  Socket socket = create(address);
   set_option(socket.fd(), SOL_SOCKET, SO_REUSEADDR, 1);
   if (::bind(socket.fd(), reinterpret_cast<const sockaddr*>(&address.storage), address.length) != 0)
     throw_errno("bind");
@@ -84,7 +84,7 @@
   return Socket{Fd(fd)};
 }
 
-Socket Socket::another() const {
+Socket Socket::duplicate() const {
   Fd copy(::fcntl(fd(), F_DUPFD_CLOEXEC, 0));
   if (!copy) throw std::system_error(errno, std::generic_category(), "duplicating a socket descriptor");
   return Socket{std::move(copy)};
@@ -101,7 +101,7 @@
     case EADDRNOTAVAIL:
     case EAGAIN:
     case EINTR:
-      return ConnectError::own;
+      return ConnectError::local_shortage;
     case ENETDOWN:
     case ENETUNREACH:
     case EHOSTUNREACH:
@@ -116,23 +116,23 @@
     case EAGAIN:
     case EBADF:
     case EINVAL:
-      return AcceptError::nobody;
+      return AcceptError::none_pending;
     case ECONNABORTED:
     case EINTR:
-      return AcceptError::this_one;
+      return AcceptError::retry_now;
     default:
-      return AcceptError::machine;
+      return AcceptError::system_refused;
   }
 }
 
-Socket Socket::listen_patiently(const Address& address, double patience_ms) {
+Socket Socket::listen_with_retry(const Address& address, double patience_ms) {
   constexpr double kRetryIntervalMs = 20;
   const core::Clock clock;
   for (const double deadline = clock.now() + patience_ms;;) {
     try {
       return listen_at(address);
     } catch (const std::system_error& error) {
-      const bool temporary = connect_error(error.code().value()) == ConnectError::own;
+      const bool temporary = connect_error(error.code().value()) == ConnectError::local_shortage;
       // EADDRNOTAVAIL: not an address of this machine. That is an error in the configuration, not a shortage
       // of ports.
       if (!temporary || error.code().value() == EADDRNOTAVAIL || clock.now() >= deadline) throw;
@@ -152,38 +152,38 @@
   if (errno != EINTR) return connect_error(errno);
   // An interrupted connect() continues in the kernel.
   const core::Clock clock;
-  if (wait_for(fd(), POLLOUT, -1, clock.now() + timeout_ms, clock).first == 0) return ConnectError::peer;
+  if (poll_until(fd(), POLLOUT, -1, clock.now() + timeout_ms, clock).first == 0) return ConnectError::peer;
   int error = 0;
   socklen_t length = sizeof error;
   ::getsockopt(fd(), SOL_SOCKET, SO_ERROR, &error, &length);
   return connect_error(error);
 }
 
-Io Socket::receive(char* buffer, std::size_t capacity, std::size_t& received_bytes) {
+IoResult Socket::receive(char* buffer, std::size_t capacity, std::size_t& received_bytes) {
   for (;;) {
     const ssize_t count = ::recv(fd(), buffer, capacity, MSG_DONTWAIT);
     if (count > 0) {
       received_bytes = static_cast<std::size_t>(count);
-      return Io::done;
+      return IoResult::done;
     }
-    if (count == 0) return Io::ended;
-    if (errno == EAGAIN || errno == EWOULDBLOCK) return Io::late;
-    if (errno != EINTR) return Io::broken;
+    if (count == 0) return IoResult::end_of_stream;
+    if (errno == EAGAIN || errno == EWOULDBLOCK) return IoResult::timed_out;
+    if (errno != EINTR) return IoResult::failed;
   }
 }
 
-Io Socket::receive(char* buffer, std::size_t capacity, std::size_t& received_bytes, double deadline,
-                   const core::Clock& clock) {
+IoResult Socket::receive(char* buffer, std::size_t capacity, std::size_t& received_bytes, double deadline,
+                         const core::Clock& clock) {
   for (;;) {
-    const Io io = receive(buffer, capacity, received_bytes);
-    if (io != Io::late || wait_for(fd(), POLLIN, -1, deadline, clock).first == 0) return io;
+    const IoResult io = receive(buffer, capacity, received_bytes);
+    if (io != IoResult::timed_out || poll_until(fd(), POLLIN, -1, deadline, clock).first == 0) return io;
   }
 }
 
 namespace {
 // Sends the vectors from `first` on, in as few system calls as possible, and advances `first` and the vectors
 // past what was sent. IoResult::timed_out: the kernel accepts no more at present.
-Io send_remaining(int fd, std::vector<iovec>& remaining, std::size_t& first) {
+IoResult send_remaining(int fd, std::vector<iovec>& remaining, std::size_t& first) {
   while (first < remaining.size()) {
     msghdr message{};
     message.msg_iov = &remaining[first];
@@ -191,7 +191,7 @@
     const ssize_t count = ::sendmsg(fd, &message, MSG_DONTWAIT | MSG_NOSIGNAL);
     if (count < 0) {
       if (errno == EINTR) continue;
-      return errno == EAGAIN || errno == EWOULDBLOCK ? Io::late : Io::broken;
+      return errno == EAGAIN || errno == EWOULDBLOCK ? IoResult::timed_out : IoResult::failed;
     }
     for (auto sent_bytes = static_cast<std::size_t>(count); sent_bytes > 0 && first < remaining.size();) {
       const std::size_t taken = std::min(sent_bytes, remaining[first].iov_len);
@@ -201,7 +201,7 @@
       if (remaining[first].iov_len == 0) first += 1;
     }
   }
-  return Io::done;
+  return IoResult::done;
 }
 
 std::vector<iovec> to_iovecs(const std::vector<std::string_view>& parts) {
@@ -213,15 +213,15 @@
 }
 }  // namespace
 
-Io Socket::send(const std::vector<std::string_view>& parts, double deadline, const core::Clock& clock) {
+IoResult Socket::send(const std::vector<std::string_view>& parts, double deadline, const core::Clock& clock) {
   std::vector<iovec> remaining = to_iovecs(parts);
   for (std::size_t first = 0;;) {
-    const Io io = send_remaining(fd(), remaining, first);
-    if (io != Io::late || wait_for(fd(), POLLOUT, -1, deadline, clock).first == 0) return io;
+    const IoResult io = send_remaining(fd(), remaining, first);
+    if (io != IoResult::timed_out || poll_until(fd(), POLLOUT, -1, deadline, clock).first == 0) return io;
   }
 }
 
-std::size_t Socket::send_some(const std::vector<std::string_view>& parts) {
+std::size_t Socket::send_available(const std::vector<std::string_view>& parts) {
   std::vector<iovec> remaining = to_iovecs(parts);
   std::size_t first = 0, total_bytes = 0, unsent_bytes = 0;
   for (const std::string_view part : parts) total_bytes += part.size();
@@ -238,7 +238,7 @@
   return has_field ? info.tcpi_last_data_recv : 0;
 }
 
-bool Socket::quiet() const {
+bool Socket::is_idle() const {
   if (!fd_) return false;
   char byte = 0;
   ssize_t result = 0;
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -26,33 +26,33 @@
 };
 
 // Result of a read or write.
-enum class Io {
-  done,    // bytes were transferred
-  ended,   // the peer has shut down its side
-  broken,  // the connection failed
-  late     // the deadline has passed; without a deadline: the call would have blocked
+enum class IoResult {
+  done,           // bytes were transferred
+  end_of_stream,  // the peer has shut down its side
+  failed,         // the connection failed
+  timed_out       // the deadline has passed; without a deadline: the call would have blocked
 };
 
 // Why a connection was not established.
 enum class ConnectError {
   none,
-  own,          // temporary local shortage (descriptors, memory, ports): says nothing about the peer
-  unreachable,  // the network has no route to the peer
-  peer          // the peer refused, reset, or did not answer in time
+  local_shortage,  // temporary local shortage (descriptors, memory, ports): says nothing about the peer
+  unreachable,     // the network has no route to the peer
+  peer             // the peer refused, reset, or did not answer in time
 };
 // Classifies an errno of socket() or connect().
 ConnectError connect_error(int error);
 
 // Why accept() returned no connection.
 enum class AcceptError {
-  nobody,    // none is pending
-  this_one,  // the pending connection is gone, or the call was interrupted: accept() may be repeated at once
-  machine    // the system refused, which may last; the connection stays in the kernel's queue
+  none_pending,  // none is pending
+  retry_now,  // the pending connection is gone, or the call was interrupted: accept() may be repeated at once
+  system_refused  // the system refused, which may last; the connection stays in the kernel's queue
 };
 // Classifies an errno of accept().
 AcceptError accept_error(int error);
 // How long to wait after AcceptError::system_refused before the next accept().
-constexpr double kAcceptAgainMs = 5;
+constexpr double kAcceptRetryMs = 5;
 
 // Owns the descriptor of one TCP socket.
 class Socket {
@@ -61,19 +61,19 @@
   explicit Socket(Fd fd) : fd_(std::move(fd)) {}
 
   // Creates an unconnected socket for `address`, with TCP_NODELAY. Throws std::system_error.
-  static Socket make(const Address& address);
+  static Socket create(const Address& address);
   // Creates a listening socket; port 0 selects a free port. Throws std::system_error.
   static Socket listen_at(const Address& address);
   // Like listen_at(), but retries for up to `patience_ms` while this machine is temporarily short of
   // resources.
-  static Socket listen_patiently(const Address& address, double patience_ms);
+  static Socket listen_with_retry(const Address& address, double patience_ms);
 
   // Takes ownership of an inherited descriptor of a listening socket. Another process may share the socket,
   // so it must never be shut down. Throws std::runtime_error if it is not a listening socket.
   static Socket adopt_listener(int fd);
 
   // Duplicates the descriptor: both refer to the same socket. Throws std::system_error.
-  Socket another() const;
+  Socket duplicate() const;
 
   // Makes one attempt to connect, which takes at most `timeout_ms`.
   ConnectError try_connect(const Address& address, double timeout_ms);
@@ -82,24 +82,24 @@
   }
   // IoResult::done: `received_bytes`, at least one, were stored at `buffer`, which has room for `capacity`
   // bytes. Waits until `deadline`.
-  Io receive(char* buffer, std::size_t capacity, std::size_t& received_bytes, double deadline,
-             const core::Clock& clock);
+  IoResult receive(char* buffer, std::size_t capacity, std::size_t& received_bytes, double deadline,
+                   const core::Clock& clock);
   // Does not wait: IoResult::timed_out if nothing has arrived.
-  Io receive(char* buffer, std::size_t capacity, std::size_t& received_bytes);
+  IoResult receive(char* buffer, std::size_t capacity, std::size_t& received_bytes);
   // Sends all parts, in as few system calls as possible. IoResult::done: the kernel has accepted the last
   // byte. Waits until `deadline`.
-  Io send(const std::vector<std::string_view>& parts, double deadline, const core::Clock& clock);
+  IoResult send(const std::vector<std::string_view>& parts, double deadline, const core::Clock& clock);
   // Sends what the kernel accepts without blocking, and returns its total size in bytes.
-  std::size_t send_some(const std::vector<std::string_view>& parts);
+  std::size_t send_available(const std::vector<std::string_view>& parts);
   // Time since the kernel received the newest bytes, in ms; 0 if it does not report that.
   double newest_bytes_age_ms() const;
   // The connection is open and no bytes are waiting, so a link that was idle may be used again.
-  bool quiet() const;
+  bool is_idle() const;
   // Watches the connection for `duration_ms` of real time, or until bytes arrive. False if the peer has
   // closed or reset it.
   bool stays_open(double duration_ms) const;
   // Shuts down one direction or both; the descriptor stays open.
-  void shut(int how = SHUT_RDWR) const { ::shutdown(fd_.get(), how); }
+  void shut_down(int how = SHUT_RDWR) const { ::shutdown(fd_.get(), how); }
 
   // Sets TCP_NODELAY.
   void set_no_delay() const;
@@ -114,7 +114,7 @@
 
 // Waits until `deadline` for `events` on one descriptor and for input on another one (-1: none). Returns
 // poll's revents of both; both are 0 if the deadline has passed. Throws std::system_error.
-std::pair<short, short> wait_for(int fd, short events, int other_fd, double deadline,
-                                 const core::Clock& clock);
+std::pair<short, short> poll_until(int fd, short events, int other_fd, double deadline,
+                                   const core::Clock& clock);
 
 }  // namespace woadtide::net
--- a/src/net/succession.hpp
+++ b/src/net/succession.hpp
@@ -20,30 +20,30 @@
 
 // Exchanges state with the sibling processes of this dispatcher. Functions that send messages or
 // set or read a state may be called from any thread.
-class Succession : public core::Kin, private park::Guest {
+class HotRestart : public core::SiblingProcess, private park::EventHandler {
  public:
   // `on_process_count` is called with the number of processes, this one included, when it has changed.
-  Succession(const core::Clock& clock, core::Inbox& inbox, park::Park& event_loop,
+  HotRestart(const core::Clock& clock, core::Inbox& inbox, park::EventLoop& event_loop,
              std::function<void(std::size_t process_count)> on_process_count);
   // Closes the connections to all siblings.
-  ~Succession() override;
-  Succession(const Succession&) = delete;
-  Succession& operator=(const Succession&) = delete;
+  ~HotRestart() override;
+  HotRestart(const HotRestart&) = delete;
+  HotRestart& operator=(const HotRestart&) = delete;
 
   // Connects to the process that already runs, and listens for later ones, in `folder`. Waits for at most
   // `wait_ms` ms until the other process has sent its initial state. Throws std::runtime_error if the other
   // process speaks a protocol version that differs by more than one.
-  void meet(const std::string& folder, const std::string& name, double wait_ms);
+  void join_siblings(const std::string& folder, const std::string& name, double wait_ms);
   // Closes the connections to all siblings; `on_process_count` is not called afterwards.
-  void end();
+  void leave_siblings();
   // Sends a message to all siblings; it does not block.
-  void tell(const core::Word& message) override;
+  void send(const core::SiblingMessage& message) override;
   // Whether there is no sibling to send to.
-  bool alone() const override { return alone_; }
+  bool has_no_sibling() const override { return alone_; }
   // Sets whether this process accepts clients; siblings are told, also those that connect later.
-  void set_ready(bool accepts_clients);
+  void set_accepts_clients(bool accepts_clients);
   // Whether any sibling accepts clients.
-  bool other_ready();
+  bool sibling_accepts_clients();
 
  private:
   // The connection to one sibling process.
@@ -57,30 +57,30 @@
     park::Thread reader, writer;  // last: they use all other members
   };
 
-  void ready(park::Signs events) override;
-  void late() override { ready({}); }
+  void on_ready(park::ReadinessEvents events) override;
+  void on_timeout() override { on_ready({}); }
   void add_sibling(Socket socket);
   void read_messages(Sibling& sibling);
   void write_messages(Sibling& sibling);
   void handle_line(Sibling& sibling, const std::string& line);
   void check_version(Sibling& sibling, const std::string& version_text);
-  void enqueue(Sibling& sibling, const core::Word& message);
+  void enqueue(Sibling& sibling, const core::SiblingMessage& message);
   void remove_closed();
   std::size_t process_count();
   void post_client_sharers();
 
   const core::Clock& clock_;
   core::Inbox& inbox_;
-  park::Park& event_loop_;
+  park::EventLoop& event_loop_;
   const std::function<void(std::size_t)> on_process_count_;
   std::mutex mutex_;
   std::condition_variable sibling_changed_;
   std::list<Sibling> siblings_;
   std::atomic<bool> alone_{true}, stopping_{false};
   bool accepts_clients_ = false;
-  core::Seldom accept_error_log_;
+  core::LogRateLimit accept_error_log_;
   Socket listener_;
-  park::Park::Token token_ = park::Park::kNone;
+  park::EventLoop::Token token_ = park::EventLoop::kNoToken;
 };
 
 }  // namespace woadtide::net
--- a/src/net/tether.cpp
+++ b/src/net/tether.cpp
@@ -53,33 +53,34 @@
 
 }  // namespace
 
-Tether::Tether(park::Park& event_loop, const std::string& path, std::string status_line, Socket passed_socket)
+ControlSocket::ControlSocket(park::EventLoop& event_loop, const std::string& path, std::string status_line,
+                             Socket passed_socket)
     : event_loop_(event_loop),
       status_line_(std::move(status_line)),
       passed_socket_(std::move(passed_socket)) {
   const auto [folder, name] = split_path(path);
-  listener_ =
-      listen_over(UnixPlace(folder, name), UnixPlace(folder, name + '.' + std::to_string(::getpid())));
+  listener_ = listen_replacing(UnixSocketPath(folder, name),
+                               UnixSocketPath(folder, name + '.' + std::to_string(::getpid())));
   if (!listener_) throw std::system_error(errno, std::generic_category(), path);
-  token_ = event_loop_.enter(*this, listener_.fd());
+  token_ = event_loop_.add(*this, listener_.fd());
 }
 
-Tether::~Tether() {
-  event_loop_.leave(token_);
+ControlSocket::~ControlSocket() {
+  event_loop_.remove(token_);
   event_loop_.quiesce();
 }
 
-void Tether::ready(park::Signs) {
+void ControlSocket::on_ready(park::ReadinessEvents) {
   for (;;) {
     Socket caller{Fd(::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
     if (!caller) {
       const int error = errno;
       const AcceptError accept_result = accept_error(error);
-      if (accept_result == AcceptError::this_one) continue;
-      if (accept_result == AcceptError::machine) {
-        if (accept_error_log_.due(clock_.now()))
+      if (accept_result == AcceptError::retry_now) continue;
+      if (accept_result == AcceptError::system_refused) {
+        if (accept_error_log_.allow(clock_.now()))
           core::log_line("tether: " + std::generic_category().message(error));
-        event_loop_.wake_at(token_, clock_.now() + kAcceptAgainMs);
+        event_loop_.set_timeout(token_, clock_.now() + kAcceptRetryMs);
       }
       return;
     }
@@ -87,21 +88,21 @@
     if (!passed_socket_ || peer_pid(caller) == 0 ||
         !send_line_and_descriptor(caller, status_line_, passed_socket_.fd()))
       continue;
-    if (connections_.size() == kMostCallers) connections_.pop_front();
+    if (connections_.size() == kMaxConnections) connections_.pop_front();
     connections_.push_back(std::move(caller));
   }
 }
 
-void Tether::stop_passing() {
+void ControlSocket::stop_passing() {
   const std::lock_guard lock(mutex_);
   passed_socket_ = Socket();
 }
 
-Tethered reach(const std::string& path, double timeout_ms) {
-  Tethered result;
+ControlSocketConnection connect_control_socket(const std::string& path, double timeout_ms) {
+  ControlSocketConnection result;
   const auto [folder, name] = split_path(path);
-  Socket link = make_unix();
-  if (!link || !UnixPlace(folder, name).call(::connect, link)) return {};
+  Socket link = make_unix_socket();
+  if (!link || !UnixSocketPath(folder, name).call(::connect, link)) return {};
   result.pid = peer_pid(link);
   const timeval receive_timeout{static_cast<time_t>(timeout_ms / 1'000),
                                 static_cast<suseconds_t>(timeout_ms * 1'000) % 1'000'000};
--- a/src/net/tether.hpp
+++ b/src/net/tether.hpp
@@ -14,37 +14,38 @@
 namespace woadtide::net {
 
 // Listens on the control socket and passes a status line and the client listener to each caller.
-class Tether : private park::Guest {
+class ControlSocket : private park::EventHandler {
  public:
   // Open connections at once.
-  static constexpr std::size_t kMostCallers = 4;
+  static constexpr std::size_t kMaxConnections = 4;
   // Listens at `path`. `status_line` has no line end. Throws std::system_error if it cannot listen.
-  Tether(park::Park& event_loop, const std::string& path, std::string status_line, Socket passed_socket);
-  ~Tether() override;
-  Tether(const Tether&) = delete;
-  Tether& operator=(const Tether&) = delete;
+  ControlSocket(park::EventLoop& event_loop, const std::string& path, std::string status_line,
+                Socket passed_socket);
+  ~ControlSocket() override;
+  ControlSocket(const ControlSocket&) = delete;
+  ControlSocket& operator=(const ControlSocket&) = delete;
 
   // Stops passing the socket: new callers are rejected, existing connections stay. If this process was the
   // last to hold the passed socket, nobody listens on it any more.
   void stop_passing();
 
  private:
-  void ready(park::Signs events) override;
-  void late() override { ready({}); }
+  void on_ready(park::ReadinessEvents events) override;
+  void on_timeout() override { on_ready({}); }
 
   const core::Clock clock_;
-  core::Seldom accept_error_log_;
-  park::Park& event_loop_;
+  core::LogRateLimit accept_error_log_;
+  park::EventLoop& event_loop_;
   const std::string status_line_;
   std::mutex mutex_;
   Socket passed_socket_;
   Socket listener_;
   std::list<Socket> connections_;  // the oldest is closed first when the limit is reached
-  park::Park::Token token_;
+  park::EventLoop::Token token_;
 };
 
 // The caller's side: what the process behind a control socket sent.
-struct Tethered {
+struct ControlSocketConnection {
   Socket link;      // readable once the process has ended
   Socket listener;  // where clients connect
   std::string line;
@@ -52,6 +53,6 @@
 };
 // Connects to the control socket at `path`. The result has no link if nobody listens, the peer runs as
 // another user, or no complete line came within `timeout_ms` ms.
-Tethered reach(const std::string& path, double timeout_ms);
+ControlSocketConnection connect_control_socket(const std::string& path, double timeout_ms);
 
 }  // namespace woadtide::net
--- a/src/net/unix_socket.cpp
+++ b/src/net/unix_socket.cpp
@@ -7,13 +7,14 @@
 
 namespace woadtide::net {
 
-UnixPlace::UnixPlace(const std::string& folder, const std::string& name) : path(folder + '/' + name) {
+UnixSocketPath::UnixSocketPath(const std::string& folder, const std::string& name)
+    : path(folder + '/' + name) {
   if (path.size() < sizeof(sockaddr_un::sun_path)) return;
   folder_fd = Fd(::open(folder.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC));
   path = "/proc/self/fd/" + std::to_string(folder_fd.get()) + '/' + name;
 }
 
-Socket make_unix() { return Socket{Fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0))}; }
+Socket make_unix_socket() { return Socket{Fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0))}; }
 
 int peer_pid(const Socket& socket) {
   ucred peer{};
@@ -22,8 +23,8 @@
   return has_credentials && peer.uid == ::geteuid() ? peer.pid : 0;
 }
 
-Socket listen_over(const UnixPlace& path, const UnixPlace& temporary) {
-  Socket listener = make_unix();
+Socket listen_replacing(const UnixSocketPath& path, const UnixSocketPath& temporary) {
+  Socket listener = make_unix_socket();
   ::unlink(temporary.path.c_str());
   if (!listener || !temporary.call(::bind, listener) || ::listen(listener.fd(), 4) != 0 ||
       std::rename(temporary.path.c_str(), path.path.c_str()) != 0)
--- a/src/net/unix_socket.hpp
+++ b/src/net/unix_socket.hpp
@@ -13,9 +13,9 @@
 
 // The address of a Unix socket. If the path is longer than sockaddr_un allows, it is expressed by a
 // descriptor of its folder.
-struct UnixPlace {
+struct UnixSocketPath {
   // Opens `folder` if the path is too long for sockaddr_un.
-  UnixPlace(const std::string& folder, const std::string& name);
+  UnixSocketPath(const std::string& folder, const std::string& name);
   // Calls `function` (::bind or ::connect) with the address. False if the path is too long or the call fails.
   template <class Function>
   bool call(Function&& function, const Socket& socket) const {
@@ -30,12 +30,12 @@
 };
 
 // An unconnected stream socket; empty on failure.
-Socket make_unix();
+Socket make_unix_socket();
 // The process id of the peer; 0 if the peer runs as another user, as a shared folder could hold such a
 // socket.
 int peer_pid(const Socket& socket);
 // Listens at `path` by renaming the socket `temporary` over it, so that a previous listener is replaced
 // without a gap. Returns an empty Socket on failure, with the reason in errno.
-Socket listen_over(const UnixPlace& path, const UnixPlace& temporary);
+Socket listen_replacing(const UnixSocketPath& path, const UnixSocketPath& temporary);
 
 }  // namespace woadtide::net
--- a/src/net/worker_asks.cpp
+++ b/src/net/worker_asks.cpp
@@ -8,16 +8,16 @@
 
 namespace woadtide::net {
 
-WorkerAsks::WorkerAsks(const HostGroup& endpoint_list, core::Clock& clock, double timeout_ms,
-                       AnswerHandler on_answer)
+JobStatusClient::JobStatusClient(const EndpointListClient& endpoint_list, core::Clock& clock,
+                                 double timeout_ms, AnswerHandler on_answer)
     : endpoint_list_(endpoint_list),
       clock_(clock),
       timeout_ms_(timeout_ms),
       on_answer_(std::move(on_answer)) {
-  for (std::size_t i = 0; i < kThreads; ++i) threads_.emplace_back("asks", [this] { run_thread(); });
+  for (std::size_t i = 0; i < kThreadCount; ++i) threads_.emplace_back("asks", [this] { run_thread(); });
 }
 
-WorkerAsks::~WorkerAsks() {
+JobStatusClient::~JobStatusClient() {
   const auto stop = [this] {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
@@ -27,7 +27,7 @@
   threads_.clear();
 }
 
-void WorkerAsks::ask(Question question) {
+void JobStatusClient::ask(Question question) {
   const std::lock_guard lock(mutex_);
   const std::pair<std::string, std::string> worker_and_key{question.worker, question.key};
   for (Question& waiting : pending_)
@@ -40,7 +40,7 @@
   question_added_.notify_one();
 }
 
-void WorkerAsks::run_thread() {
+void JobStatusClient::run_thread() {
   std::unique_lock lock(mutex_);
   for (;;) {
     question_added_.wait(lock, [this] { return stopping_ || !pending_.empty(); });
@@ -60,28 +60,28 @@
   }
 }
 
-WorkerAsks::Answer WorkerAsks::send_question(const Question& question) {
+JobStatusClient::Answer JobStatusClient::send_question(const Question& question) {
   const auto endpoint = endpoint_list_.find(question.worker);
   if (!endpoint) return {};
-  Socket socket = Socket::make(endpoint->address);
+  Socket socket = Socket::create(endpoint->address);
   if (!socket.connect(endpoint->address, timeout_ms_)) return {};
   const double deadline = clock_.now() + timeout_ms_;
   std::string head = "GET /jobs" + (question.key.empty() ? "" : '/' + question.key) + " HTTP/1.1\r\nHost: ";
   head +=
       endpoint->dial + "\r\nX-Job-Epoch: " + std::to_string(question.epoch) + "\r\nConnection: close\r\n\r\n";
-  if (socket.send({head}, deadline, clock_) != Io::done) return {};
-  Intake intake(socket, clock_, buffer_pool_);
-  Io read_status = Io::done;
-  const auto length = intake.head(deadline, read_status);
+  if (socket.send({head}, deadline, clock_) != IoResult::done) return {};
+  BufferedInput intake(socket, clock_, buffer_pool_);
+  IoResult read_status = IoResult::done;
+  const auto length = intake.read_head(deadline, read_status);
   if (!length) return {};
-  const Head response_head = read_answer_head(intake.view().substr(0, *length));
-  const Framing framing = framing_of_answer(response_head);
+  const MessageHead response_head = parse_response_head(intake.view().substr(0, *length));
+  const Framing framing = response_framing(response_head);
   const bool ok = response_head.status == 200;
-  intake.use(*length);
+  intake.consume(*length);
   LineReader lines(intake, framing);
   Answer answer;
-  if (!ok || lines.next(answer.body, deadline) != LineReader::Got::line) return {};
-  answer.came = true;
+  if (!ok || lines.next(answer.body, deadline) != LineReader::Result::line) return {};
+  answer.received = true;
   return answer;
 }
 
--- a/src/net/worker_asks.hpp
+++ b/src/net/worker_asks.hpp
@@ -17,9 +17,9 @@
 namespace woadtide::net {
 
 // Sends questions about jobs to workers in the background.
-class WorkerAsks {
+class JobStatusClient {
  public:
-  static constexpr std::size_t kThreads = 3;
+  static constexpr std::size_t kThreadCount = 3;
 
   // A question about one job; with an empty key, about the worker as a whole (GET /jobs).
   struct Question {
@@ -28,18 +28,19 @@
   };
   // The worker's answer; it has come if a complete 200 response was received.
   struct Answer {
-    bool came = false;  // false: the worker could not be reached or did not answer
-    std::string body;   // JSON
+    bool received = false;  // false: the worker could not be reached or did not answer
+    std::string body;       // JSON
   };
   using AnswerHandler = std::function<void(const Question&, const Answer&)>;
 
   // `on_answer` is called on the threads, once for each question that ask() has neither merged nor dropped.
   // `timeout_ms` applies to the connect and to the response in turn.
-  WorkerAsks(const HostGroup& endpoint_list, core::Clock& clock, double timeout_ms, AnswerHandler on_answer);
+  JobStatusClient(const EndpointListClient& endpoint_list, core::Clock& clock, double timeout_ms,
+                  AnswerHandler on_answer);
   // Waits for the threads; pending questions are dropped.
-  ~WorkerAsks();
-  WorkerAsks(const WorkerAsks&) = delete;
-  WorkerAsks& operator=(const WorkerAsks&) = delete;
+  ~JobStatusClient();
+  JobStatusClient(const JobStatusClient&) = delete;
+  JobStatusClient& operator=(const JobStatusClient&) = delete;
 
   // Queues a question. If one for the same worker and key is pending, that one gets the higher of the epochs
   // instead. A question without a key is dropped while one to the same worker is in progress.
@@ -49,11 +50,11 @@
   void run_thread();
   Answer send_question(const Question& question);
 
-  const HostGroup& endpoint_list_;
+  const EndpointListClient& endpoint_list_;
   core::Clock& clock_;
   const double timeout_ms_;
   const AnswerHandler on_answer_;
-  BufferPool buffer_pool_{kThreads};
+  BufferPool buffer_pool_{kThreadCount};
   std::mutex mutex_;
   std::condition_variable question_added_;
   std::deque<Question> pending_;
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -18,7 +18,7 @@
 // Descriptors for everything but client and server links: standard streams, listeners, the event loop, the
 // connection to service discovery, wake-ups, a config being reloaded, management callers, and links that are
 // about to close.
-constexpr std::size_t kReservedDescriptors = 28 + net::Management::kMostCallers;
+constexpr std::size_t kReservedDescriptors = 28 + net::ManagementServer::kMaxConnections;
 // Memory of the program without links, and of the state of one link, both rounded up.
 constexpr std::size_t kProgramBytes = 6'000'000, kLinkBytes = 20'000;
 
@@ -39,7 +39,7 @@
 
 // Threads beyond those that executions may need: for the watch on service discovery and for management
 // callers.
-constexpr std::size_t kReservedThreads = net::Management::kMostCallers + 2;
+constexpr std::size_t kReservedThreads = net::ManagementServer::kMaxConnections + 2;
 
 // The next process of an upgrade has 6 s to become ready, and so may a restarted one; this is less, which
 // leaves time for it to be noticed.
@@ -59,17 +59,17 @@
   return longest_ms;
 }
 
-net::ServerLinks::Limits server_limits(const woadtide::Settings& settings, const Budget& budget) {
+net::ServerLinks::Limits server_limits(const woadtide::Settings& settings, const ResourceBudget& budget) {
   net::ServerLinks::Limits limits;
-  limits.most = budget.server_links;
-  if (settings.connect_timeout.count() > 0) limits.connect_ms = core::to_ms(settings.connect_timeout);
-  if (settings.link_idle.count() > 0) limits.idle_ms = core::to_ms(settings.link_idle) / 2;
+  limits.max_links = budget.server_links;
+  if (settings.connect_timeout.count() > 0) limits.connect_timeout_ms = core::to_ms(settings.connect_timeout);
+  if (settings.link_idle.count() > 0) limits.idle_timeout_ms = core::to_ms(settings.link_idle) / 2;
   return limits;
 }
 
 }  // namespace
 
-Budget::Budget(std::size_t descriptors, std::size_t memory_mb, std::size_t processes) {
+ResourceBudget::ResourceBudget(std::size_t descriptors, std::size_t memory_mb, std::size_t processes) {
   descriptors /= processes;
   // Each link holds one descriptor and about kLinkBytes of state. Queries of clients take up to a third of
   // the descriptors; each may need a server link, and misbehaving clients come on top.
@@ -79,7 +79,7 @@
   const std::size_t link_memory_bytes = usable_bytes - std::min(usable_bytes, kProgramBytes);
   // Of the 15 % of memory kept free beyond that, the endpoint list may take half at its peak.
   const std::size_t reserved_bytes = memory_mb * 1'000'000 / processes - usable_bytes;
-  list = endpoints::endpoint_limits(reserved_bytes / 2 * endpoints::kMemoryShareDivisor);
+  list_limits = endpoints::endpoint_limits(reserved_bytes / 2 * endpoints::kMemoryShareDivisor);
   // Most queries take one buffer. One buffer per link gives about one and a half per client link, so links
   // take precedence over further buffers.
   const std::size_t links_by_memory = link_memory_bytes / (kLinkBytes + net::kBufferBytes);
@@ -98,36 +98,38 @@
   net::Address(config.listen);
   net::Address(config.discovery);
   if (!config.management.empty()) net::Address(config.management);
-  for (const core::Host& host : config.known.hosts) net::Address(host.dial);
+  for (const core::Endpoint& host : config.known_endpoints.endpoints) net::Address(host.address);
 }
 
 Node::Node(core::Config config, core::Clock& clock, const ExtensionFactory& extension_factory,
-           park::Crew::Start start)
+           park::ThreadPool::ThreadFactory start)
     : clock_(clock),
       longest_deadline_ms_(longest_deadline_ms(config.settings)),
       version_line_(core::version_line(config)),
-      max_descriptors_(config.sockets),
-      max_memory_mb_(config.memory_mb),
+      max_descriptors_(config.max_sockets),
+      max_memory_mb_(config.max_memory_mb),
       budget_(max_descriptors_, max_memory_mb_),
-      listener_(config.passed_socket >= 0
-                    ? net::Socket::adopt_listener(config.passed_socket)
-                    : net::Socket::listen_patiently(net::Address(config.listen), kListenTimeoutMs)),
-      listener_duplicate_(config.tether.empty() ? net::Socket() : listener_.another()),
+      listener_(config.passed_socket_fd >= 0
+                    ? net::Socket::adopt_listener(config.passed_socket_fd)
+                    : net::Socket::listen_with_retry(net::Address(config.listen), kListenTimeoutMs)),
+      listener_duplicate_(config.control_socket_path.empty() ? net::Socket() : listener_.duplicate()),
       management_listener_(
           config.management.empty()
               ? net::Socket()
-              : net::Socket::listen_patiently(net::Address(config.management), kListenTimeoutMs)),
+              : net::Socket::listen_with_retry(net::Address(config.management), kListenTimeoutMs)),
       port_(listener_.port()),
       management_port_(management_listener_ ? management_listener_.port() : 0),
       client_pool_(budget_.client_buffers),
       worker_pool_(budget_.worker_buffers),
       event_loop_(clock),
-      thread_pool_({.most = budget_.server_links, .reserve = kReservedThreads}, std::move(start)),
+      thread_pool_({.max_threads = budget_.server_links, .urgent_reserve = kReservedThreads},
+                   std::move(start)),
       admission_(*this, event_loop_),
       endpoint_client_(
-          config.discovery, config.known, clock, inbox_, worker_pool_, event_loop_, thread_pool_,
-          config.settings.list_on_request ? net::HostGroup::Way::asked : net::HostGroup::Way::pushed,
-          net::HostGroup::kSilenceMs, [this] { admission_.on_list(); }, budget_.list),
+          config.discovery, config.known_endpoints, clock, inbox_, worker_pool_, event_loop_, thread_pool_,
+          config.settings.list_on_request ? net::EndpointListClient::DiscoveryMode::on_request
+                                          : net::EndpointListClient::DiscoveryMode::pushed,
+          net::EndpointListClient::kSilenceTimeoutMs, [this] { admission_.on_list(); }, budget_.list_limits),
       server_links_(server_limits(config.settings, budget_), clock, inbox_, endpoint_client_, worker_pool_,
                     event_loop_, thread_pool_),
       hot_restart_(clock, inbox_, event_loop_, [this](std::size_t processes) { apply_budget(processes); }),
@@ -136,25 +138,26 @@
                                    : nullptr),
       decision_loop_(config.settings, config.class_names, config.seed, clock, inbox_,
                      extension_ ? extension_->executor() : server_links_, endpoint_client_, hot_restart_,
-                     extension_ ? extension_->witness() : nullptr),
+                     extension_ ? extension_->observer() : nullptr),
       decision_loop_handler_(decision_loop_, inbox_, event_loop_, clock),
       http_front_(inbox_),
       client_side_{clock, client_pool_, event_loop_, http_front_},
       client_links_(std::move(listener_), budget_.client_links, client_side_),
       shutdown_{*this} {
-  if (!config.folder.empty()) {
+  if (!config.shared_folder.empty()) {
     // The listen address distinguishes dispatchers that share a directory.
     char name[40];
     std::snprintf(name, sizeof name, "woadtide-%016llx",
-                  static_cast<unsigned long long>(hash_of(config.name + ' ' + config.listen)));
-    hot_restart_.meet(config.folder, name, kHandshakeTimeoutMs);
+                  static_cast<unsigned long long>(fnv1a_hash(config.name + ' ' + config.listen)));
+    hot_restart_.join_siblings(config.shared_folder, name, kHandshakeTimeoutMs);
   }
   if (extension_) extension_->open();
   client_links_.start();
   admission_.start();
   // Before the management listener: a caller that sees `ready` there may then connect to the control socket.
-  if (!config.tether.empty())
-    control_socket_.emplace(event_loop_, config.tether, version_line_, std::move(listener_duplicate_));
+  if (!config.control_socket_path.empty())
+    control_socket_.emplace(event_loop_, config.control_socket_path, version_line_,
+                            std::move(listener_duplicate_));
   if (management_listener_)
     management_.emplace(std::move(management_listener_), clock, event_loop_, thread_pool_,
                         [this](auto call, auto argument) { return handle_management_call(call, argument); });
@@ -162,49 +165,49 @@
   core::log_line("start: " + config.name + " serves at " + config.listen + ", client links " +
                  std::to_string(budget_.client_links) + ", server links " +
                  std::to_string(budget_.server_links));
-  core::log_line("start: endpoint list of up to " + std::to_string(budget_.list.max_endpoints) +
-                 " workers and " + std::to_string(budget_.list.max_update_bytes / 1'000) + " KB");
+  core::log_line("start: endpoint list of up to " + std::to_string(budget_.list_limits.max_endpoints) +
+                 " workers and " + std::to_string(budget_.list_limits.max_update_bytes / 1'000) + " KB");
 }
 
 Node::DecisionLoopHandler::DecisionLoopHandler(core::DecisionLoop& decision_loop, core::Inbox& message_inbox,
-                                               park::Park& events, const core::Clock& time_source)
+                                               park::EventLoop& events, const core::Clock& time_source)
     : loop(decision_loop),
       inbox(message_inbox),
       event_loop(events),
       clock(time_source),
-      token(event_loop.enter(*this, -1)) {
-  inbox.set_owner([this] { event_loop.poke(token, {}); });
-  event_loop.poke(token, {});  // process messages that are already queued
+      token(event_loop.add(*this, -1)) {
+  inbox.set_notifier([this] { event_loop.wake(token, {}); });
+  event_loop.wake(token, {});  // process messages that are already queued
 }
 
 Node::DecisionLoopHandler::~DecisionLoopHandler() {
-  inbox.set_owner({});  // links, the thread pool and the extension still put messages into it until they are
-                        // destroyed later
-  event_loop.leave(token);
+  inbox.set_notifier({});  // links, the thread pool and the extension still put messages into it until they
+                           // are destroyed later
+  event_loop.remove(token);
   event_loop.quiesce();
 }
 
 void Node::reload(const core::Config& config) {
-  endpoint_client_.move(config.discovery);
+  endpoint_client_.set_discovery_address(config.discovery);
   core::log_line("reload: done, discovery at " + config.discovery);
 }
 
 Node::~Node() = default;
 
 void Node::Admission::start() {
-  token_ = event_loop_.enter(*this, -1);
-  event_loop_.wake_at(token_, node_.clock_.now() + kMaxListWaitMs);
+  token_ = event_loop_.add(*this, -1);
+  event_loop_.set_timeout(token_, node_.clock_.now() + kMaxListWaitMs);
   if (list_received_) on_list();
 }
 
 void Node::Admission::stop() {
-  event_loop_.leave(token_);
+  event_loop_.remove(token_);
   event_loop_.quiesce();
 }
 
 void Node::Admission::on_list() {
   list_received_ = true;
-  if (token_ != park::Park::kNone) event_loop_.poke(token_, {.readable = true});
+  if (token_ != park::EventLoop::kNoToken) event_loop_.wake(token_, {.readable = true});
 }
 
 void Node::begin_accepting_clients(const char* reason) {
@@ -212,24 +215,24 @@
   if (std::exchange(accepting_, true)) return;
   core::log_line(std::string("start: clients are taken in: ") + reason);
   if (!accepts_clients()) return;
-  http_front_.ready = true;
-  hot_restart_.set_ready(true);
+  http_front_.reports_ready = true;
+  hot_restart_.set_accepts_clients(true);
 }
 
 Node::Shutdown::~Shutdown() {
   node.admission_.stop();
   if (node.extension_) node.extension_->close();
-  node.hot_restart_.end();
+  node.hot_restart_.leave_siblings();
 }
 
 // The platform counts all processes of a dispatcher as one: together they must stay within its allowance.
 void Node::apply_budget(std::size_t processes) {
-  const Budget budget(max_descriptors_, max_memory_mb_, processes);
-  client_links_.set_most(budget.client_links);
-  server_links_.set_most(budget.server_links);
-  thread_pool_.set_most(budget.server_links);
-  client_pool_.set_most(budget.client_buffers);
-  worker_pool_.set_most(budget.worker_buffers);
+  const ResourceBudget budget(max_descriptors_, max_memory_mb_, processes);
+  client_links_.set_max_links(budget.client_links);
+  server_links_.set_max_links(budget.server_links);
+  thread_pool_.set_max_threads(budget.server_links);
+  client_pool_.set_max_buffers(budget.client_buffers);
+  worker_pool_.set_max_buffers(budget.worker_buffers);
   core::log_line("upgrade: " + std::to_string(processes) + " process(es), client links " +
                  std::to_string(budget.client_links) + ", server links " +
                  std::to_string(budget.server_links));
@@ -237,26 +240,26 @@
 
 std::string Node::handle_management_call(std::string_view call, std::string_view argument) {
   if (call == "exclude" && !argument.empty())
-    return request_from_decision_loop(core::OperatorCall::Kind::exclude, argument);
+    return request_from_decision_loop(core::OperatorCommand::Kind::exclude, argument);
   if (call == "include" && !argument.empty())
-    return request_from_decision_loop(core::OperatorCall::Kind::include, argument);
+    return request_from_decision_loop(core::OperatorCommand::Kind::include, argument);
   if (!argument.empty()) return "error no such call\n";
   if (call == "readyz") {
     const std::lock_guard lock(state_mutex_);
     return accepts_clients() ? "done ready\n" : "error not ready\n";
   }
   if (call == "version") return "done " + version_line_ + "\n";
-  if (call == "figures") return request_from_decision_loop(core::OperatorCall::Kind::figures, {});
-  if (call == "telemetry") return request_from_decision_loop(core::OperatorCall::Kind::telemetry, {});
+  if (call == "figures") return request_from_decision_loop(core::OperatorCommand::Kind::figures, {});
+  if (call == "telemetry") return request_from_decision_loop(core::OperatorCommand::Kind::telemetry, {});
   if (call == "evacuate") return set_evacuated(true);
   if (call == "activate") return set_evacuated(false);
   return "error no such call\n";
 }
 
-std::string Node::request_from_decision_loop(core::OperatorCall::Kind kind, std::string_view worker) {
-  core::OperatorCall call{kind, std::string(worker), {}};
-  std::future<std::string> answer = call.answer.get_future();
-  inbox_.put(std::move(call));
+std::string Node::request_from_decision_loop(core::OperatorCommand::Kind kind, std::string_view worker) {
+  core::OperatorCommand call{kind, std::string(worker), {}};
+  std::future<std::string> answer = call.reply.get_future();
+  inbox_.push(std::move(call));
   if (answer.wait_for(std::chrono::milliseconds(kDecisionLoopTimeoutMs)) != std::future_status::ready)
     return "error it is not done yet\n";
   return answer.get();
@@ -267,11 +270,12 @@
   if (ending_) return "error this process is ending\n";
   if (evacuated != std::exchange(evacuated_, evacuated)) {
     core::log_line(evacuated ? "evacuate: clients are sent away" : "activate: clients are taken again");
-    client_side_.read_until = evacuated ? clock_.now() + kEvacuationReadMs : net::ClientSide::kAlways;
+    client_side_.read_cutoff_ms =
+        evacuated ? clock_.now() + kEvacuationReadMs : net::ClientLinkContext::kNoReadCutoff;
   }
-  http_front_.ready = accepts_clients();
-  hot_restart_.set_ready(accepts_clients());
-  if (extension_) extension_->set_taking(!evacuated);
+  http_front_.reports_ready = accepts_clients();
+  hot_restart_.set_accepts_clients(accepts_clients());
+  if (extension_) extension_->set_accepting_clients(!evacuated);
   if (evacuated)
     client_links_.evacuate();
   else
@@ -279,30 +283,30 @@
   return "done\n";
 }
 
-void Node::finish() {
+void Node::shut_down() {
   const double term_ms = clock_.now();
   const double end_ms = term_ms + std::min(longest_deadline_ms_, kMaxDeadlineMs) + kAnswerMarginMs;
-  core::log_line("end: SIGTERM, " + std::to_string(client_links_.open()) + " client links open");
+  core::log_line("end: SIGTERM, " + std::to_string(client_links_.open_count()) + " client links open");
   {
     const std::lock_guard lock(state_mutex_);
     ending_ = true;
     // A health check at the clients' address that reaches this process also stands for the other process.
-    http_front_.ready = hands_over();
-    hot_restart_.set_ready(false);
+    http_front_.reports_ready = has_successor();
+    hot_restart_.set_accepts_clients(false);
   }
   if (control_socket_) control_socket_->stop_passing();
   const auto pause_until = [this](double until, bool while_busy) {
     const auto is_busy = [this] {
-      return client_links_.open() > 0 || (extension_ && extension_->busy() > 0);
+      return client_links_.open_count() > 0 || (extension_ && extension_->active_executions() > 0);
     };
     while (clock_.now() < until && (!while_busy || is_busy())) ::poll(nullptr, 0, 10);
   };
   // Where all deadlines are shorter than kLastQueriesMs, queries read later are still answered in time.
   const double read_until = end_ms - std::min(longest_deadline_ms_, kLastQueriesMs);
-  client_side_.read_until = read_until;
-  if (http_front_.ready) {
+  client_side_.read_cutoff_ms = read_until;
+  if (http_front_.reports_ready) {
     core::log_line("end: the next process takes the clients");
-    client_links_.leave_to_other();
+    client_links_.leave_listener_to_sibling();
   } else {
     pause_until(std::max(term_ms + kKeepAcceptingMs, read_until), false);
     client_links_.stop_accepting();
@@ -310,9 +314,9 @@
   pause_until(clock_.now() + kLastAnswersMs, false);
   pause_until(end_ms, true);
   if (extension_) extension_->close();  // its open work stays recorded on disk
-  inbox_.put(core::FinishAll{});
+  inbox_.push(core::FailOpenQueries{});
   pause_until(end_ms + kLastAnswersMs, true);
-  core::log_line("end: done, " + std::to_string(client_links_.open()) + " client links open");
+  core::log_line("end: done, " + std::to_string(client_links_.open_count()) + " client links open");
 }
 
 }  // namespace woadtide
--- a/src/numbers.hpp
+++ b/src/numbers.hpp
@@ -39,22 +39,22 @@
 }
 
 // 64-bit FNV-1a hash, which is the same at every dispatcher and on any machine.
-inline std::uint64_t hash_of(const std::string& name) {
+inline std::uint64_t fnv1a_hash(const std::string& name) {
   std::uint64_t hash = 14695981039346656037U;
   for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211U;
   return hash;
 }
 
 // A pseudo-random number in (0, 1] that depends on the worker and `number` only.
-inline double draw_of(const std::string& worker, int number) {
-  const std::uint64_t mixed = hash_of(worker + ' ' + std::to_string(number)) * 0x9E3779B97F4A7C15U;
+inline double stable_draw(const std::string& worker, int number) {
+  const std::uint64_t mixed = fnv1a_hash(worker + ' ' + std::to_string(number)) * 0x9E3779B97F4A7C15U;
   return static_cast<double>((mixed >> 11) + 1) * 0x1p-53;
 }
 
 // The place of dispatcher `number` in the order of all `count` dispatchers, from 0; each worker has another
 // order.
 inline double place_in_turn_order(const std::string& worker, int number, int count) {
-  return static_cast<double>((hash_of(worker) + static_cast<std::uint64_t>(number)) %
+  return static_cast<double>((fnv1a_hash(worker) + static_cast<std::uint64_t>(number)) %
                              static_cast<std::uint64_t>(count));
 }
 
--- a/src/park/crew.cpp
+++ b/src/park/crew.cpp
@@ -7,13 +7,13 @@
 
 namespace woadtide::park {
 
-Crew::Crew(Limits limits, Start start)
+ThreadPool::ThreadPool(Limits limits, ThreadFactory start)
     : limits_(limits),
       thread_factory_(start ? std::move(start) : [](const std::string& name, std::function<void()> body) {
         return Thread(name, std::move(body));
       }) {}
 
-Crew::~Crew() {
+ThreadPool::~ThreadPool() {
   std::unique_lock lock(mutex_);
   stopping_ = true;
   for (const auto& thread : idle_) thread->wake.notify_one();
@@ -22,7 +22,7 @@
   });
 }
 
-bool Crew::take(std::function<void()> job, bool urgent) {
+bool ThreadPool::try_submit(std::function<void()> job, bool urgent) {
   std::unique_lock lock(mutex_);
   if (stopping_) return false;
   if (!idle_.empty()) {
@@ -34,7 +34,7 @@
     return true;
   }
   remove_ended_threads();
-  if (threads_.size() >= limits_.most + (urgent ? limits_.reserve : 0)) return false;
+  if (threads_.size() >= limits_.max_threads + (urgent ? limits_.urgent_reserve : 0)) return false;
   const auto pool_thread = threads_.emplace_back(std::make_shared<PoolThread>());
   pool_thread->job = std::move(job);
   try {
@@ -42,13 +42,13 @@
         thread_factory_("crew", [this, pool_thread = pool_thread.get()] { run_jobs(*pool_thread); });
   } catch (const std::exception& error) {
     threads_.pop_back();
-    if (start_failure_log_.due(clock_.now())) core::log_line(std::string("crew: ") + error.what());
+    if (start_failure_log_.allow(clock_.now())) core::log_line(std::string("crew: ") + error.what());
     return false;
   }
   return true;
 }
 
-void Crew::run_jobs(PoolThread& pool_thread) {
+void ThreadPool::run_jobs(PoolThread& pool_thread) {
   std::unique_lock lock(mutex_);
   const std::chrono::duration<double, std::milli> idle_timeout(limits_.idle_timeout_ms);
   while (pool_thread.job) {
@@ -63,10 +63,10 @@
     if (stopping_) break;
     idle_.push_back(pool_thread.shared_from_this());
     while (!pool_thread.job && !stopping_) {
-      if (idle_.size() <= limits_.kept)
+      if (idle_.size() <= limits_.kept_idle_threads)
         pool_thread.wake.wait(lock);
       else if (pool_thread.wake.wait_for(lock, idle_timeout) == std::cv_status::timeout && !pool_thread.job &&
-               idle_.size() > limits_.kept)
+               idle_.size() > limits_.kept_idle_threads)
         break;
     }
     if (!pool_thread.job)
@@ -76,16 +76,16 @@
   thread_ended_.notify_all();
 }
 
-void Crew::remove_ended_threads() {
+void ThreadPool::remove_ended_threads() {
   std::erase_if(threads_, [](const auto& thread) { return thread->ended; });
 }
 
-void Crew::set_most(std::size_t most) {
+void ThreadPool::set_max_threads(std::size_t most) {
   const std::lock_guard lock(mutex_);
-  limits_.most = most;
+  limits_.max_threads = most;
 }
 
-std::size_t Crew::threads() {
+std::size_t ThreadPool::thread_count() {
   const std::lock_guard lock(mutex_);
   remove_ended_threads();
   return threads_.size();
--- a/src/park/park.cpp
+++ b/src/park/park.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 constexpr double kMaxWaitMs = 1'000;  // bounded because the clock may be set while the loop waits
-constexpr Park::Token kWakeToken = Park::kNone;
+constexpr EventLoop::Token kWakeToken = EventLoop::kNoToken;
 
-void add_to_epoll(int epoll, int fd, std::uint32_t events, Park::Token token) {
+void add_to_epoll(int epoll, int fd, std::uint32_t events, EventLoop::Token token) {
   epoll_event event{};
   event.events = events;
   event.data.u64 = token;
@@ -38,7 +38,7 @@
   if (fd_ >= 0) ::close(fd_);
 }
 
-Park::Park(const core::Clock& clock)
+EventLoop::EventLoop(const core::Clock& clock)
     : clock_(clock),
       epoll_fd_(::epoll_create1(EPOLL_CLOEXEC)),
       wake_fd_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
@@ -47,7 +47,7 @@
   thread_ = Thread("park", [this] { run(); });
 }
 
-Park::~Park() {
+EventLoop::~EventLoop() {
   {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
@@ -55,14 +55,14 @@
   interrupt_wait();
 }
 
-void Park::interrupt_wait() {
+void EventLoop::interrupt_wait() {
   const std::uint64_t increment = 1;
   ssize_t written = 0;
   do written = ::write(wake_fd_.get(), &increment, sizeof increment);
   while (written < 0 && errno == EINTR);  // any other error means that a wake-up is pending already
 }
 
-Park::Token Park::enter(std::shared_ptr<Guest> handler, int fd) {
+EventLoop::Token EventLoop::add(std::shared_ptr<EventHandler> handler, int fd) {
   const std::lock_guard lock(mutex_);
   const Token token = next_token_++;
   Registration& registration = registrations_[token];
@@ -82,7 +82,7 @@
 
 // A later time than the queued one leaves the queue as it is; the timeout is queued again when the earlier
 // entry comes up. Most timeouts are moved to a later time again and again and never expire.
-void Park::wake_at(Token token, double when) {
+void EventLoop::set_timeout(Token token, double when) {
   const std::lock_guard lock(mutex_);
   const auto found = registrations_.find(token);
   if (found == registrations_.end()) return;
@@ -101,7 +101,7 @@
   }
 }
 
-void Park::poke(Token token, Signs events) {
+void EventLoop::wake(Token token, ReadinessEvents events) {
   const std::lock_guard lock(mutex_);
   const auto found = registrations_.find(token);
   if (found == registrations_.end()) return;
@@ -114,7 +114,7 @@
   if (waiting_until_ > 0) interrupt_wait();
 }
 
-void Park::leave(Token token) {
+void EventLoop::remove(Token token) {
   const std::lock_guard lock(mutex_);
   const auto found = registrations_.find(token);
   if (found == registrations_.end()) return;
@@ -128,21 +128,21 @@
   registrations_.erase(found);
 }
 
-void Park::quiesce() {
+void EventLoop::quiesce() {
   if (thread_.is_current()) return;
   std::unique_lock lock(mutex_);
   const std::uint64_t phase = phase_;
   if (phase % 2 == 1) iteration_ended_.wait(lock, [&] { return phase_ != phase; });
 }
 
-std::size_t Park::guests() {
+std::size_t EventLoop::registration_count() {
   const std::lock_guard lock(mutex_);
   return registrations_.size();
 }
 
-void Park::run() {
+void EventLoop::run() {
   std::array<epoll_event, 64> events{};
-  std::vector<std::pair<Token, Signs>> ready_events;
+  std::vector<std::pair<Token, ReadinessEvents>> ready_events;
   for (;;) {
     double wait = kMaxWaitMs;
     {
@@ -193,7 +193,7 @@
   }
 }
 
-void Park::collect_woken(std::vector<std::pair<Token, Signs>>& events) {
+void EventLoop::collect_woken(std::vector<std::pair<Token, ReadinessEvents>>& events) {
   for (const Token token : std::exchange(woken_, {}))
     if (const auto found = registrations_.find(token); found != registrations_.end()) {
       found->second.is_woken = false;
@@ -201,9 +201,9 @@
     }
 }
 
-void Park::dispatch_ready(const std::vector<std::pair<Token, Signs>>& events) {
+void EventLoop::dispatch_ready(const std::vector<std::pair<Token, ReadinessEvents>>& events) {
   for (const auto& [token, readiness] : events) {
-    std::shared_ptr<Guest> handler;
+    std::shared_ptr<EventHandler> handler;
     {
       // The handler may have been removed since the event; its token is never reused.
       const std::lock_guard lock(mutex_);
@@ -211,13 +211,13 @@
       if (found == registrations_.end()) continue;
       handler = found->second.handler;
     }
-    run_logging_exceptions([&handler, &readiness = readiness] { handler->ready(readiness); });
+    run_logging_exceptions([&handler, &readiness = readiness] { handler->on_ready(readiness); });
   }
 }
 
-void Park::dispatch_timeouts(double now) {
+void EventLoop::dispatch_timeouts(double now) {
   for (;;) {
-    std::shared_ptr<Guest> handler;
+    std::shared_ptr<EventHandler> handler;
     {
       const std::lock_guard lock(mutex_);
       if (timeouts_.empty() || timeouts_.begin()->first > now) return;
@@ -233,7 +233,7 @@
       registration.timeout_at = kNever;
       handler = registration.handler;
     }
-    run_logging_exceptions([&handler] { handler->late(); });
+    run_logging_exceptions([&handler] { handler->on_timeout(); });
   }
 }
 
--- a/src/program.cpp
+++ b/src/program.cpp
@@ -78,9 +78,9 @@
   core::Config config = core::load_config(files.config_path);
   if (config.management.empty()) config.management = environment_value("ROUTER_MANAGEMENT");
   if (const std::string passed = environment_value("ROUTER_PASSED_SOCKET"); !passed.empty())
-    config.passed_socket = parse_descriptor(passed);
-  config.folder = environment_value("TMPDIR");
-  config.tether = environment_value("WOADTIDE_TETHER");
+    config.passed_socket_fd = parse_descriptor(passed);
+  config.shared_folder = environment_value("TMPDIR");
+  config.control_socket_path = environment_value("WOADTIDE_TETHER");
   config.version = WOADTIDE_VERSION;
   validate_addresses(config);
 #ifdef WOADTIDE_JOBS
@@ -88,11 +88,11 @@
     std::ifstream file(files.operator_path, std::ios::binary);
     char id[17];
     std::snprintf(id, sizeof id, "%016llx",
-                  static_cast<unsigned long long>(hash_of({std::istreambuf_iterator<char>(file), {}})));
+                  static_cast<unsigned long long>(fnv1a_hash({std::istreambuf_iterator<char>(file), {}})));
     config.settings_id = id;
     const config::OperatorFile operator_file = config::load_operator_file(files.operator_path);
-    jobs::check_addresses(operator_file.jobs);
-    for (const std::string& key : operator_file.passed_over)
+    jobs::validate_addresses(operator_file.jobs);
+    for (const std::string& key : operator_file.ignored_keys)
       std::cerr << files.operator_path << ": " << key << ": unknown key of a newer format, ignored\n";
   }
 #else
@@ -105,24 +105,24 @@
 #ifdef WOADTIDE_JOBS
 // Creates the factory of the durable job service and deducts its descriptors and memory from what the node
 // may use.
-ExtensionFactory jobs_extension(const config::JobsPart& part, core::Config& config) {
-  const std::size_t needed_descriptors = jobs::descriptors(part);
-  if (needed_descriptors * 2 > config.sockets)
+ExtensionFactory jobs_extension(const config::JobsSettings& part, core::Config& config) {
+  const std::size_t needed_descriptors = jobs::required_descriptors(part);
+  if (needed_descriptors * 2 > config.max_sockets)
     throw std::runtime_error("jobs.links: " + std::to_string(part.links) + " needs " +
-                             std::to_string(needed_descriptors) + " of " + std::to_string(config.sockets) +
-                             " descriptors; at most half may be used");
-  config.sockets -= needed_descriptors;
-  config.memory_mb -= std::min<std::size_t>(config.memory_mb / 3, 16);
-  return [part](const Parts& parts) { return std::make_unique<jobs::Installation>(part, parts); };
+                             std::to_string(needed_descriptors) + " of " +
+                             std::to_string(config.max_sockets) + " descriptors; at most half may be used");
+  config.max_sockets -= needed_descriptors;
+  config.max_memory_mb -= std::min<std::size_t>(config.max_memory_mb / 3, 16);
+  return [part](const ExtensionContext& parts) { return std::make_unique<jobs::JobsExtension>(part, parts); };
 }
 
 // Applies the settings of the operator's file that can change at run time, and logs those that only take
 // effect in the next process.
-void reload_operator_file(const std::string& path, config::OperatorFile& active, log::Structured& log) {
+void reload_operator_file(const std::string& path, config::OperatorFile& active, log::AsyncLog& log) {
   const config::OperatorFile updated = config::load_operator_file(path);
   std::string deferred;
-  for (const cli::Changed& change : cli::differences(active, updated)) {
-    const bool takes_effect_now = cli::changes_live(change.key);
+  for (const cli::SettingChange& change : cli::changed_settings(active, updated)) {
+    const bool takes_effect_now = cli::applies_on_reload(change.key);
     if (!takes_effect_now) deferred += (deferred.empty() ? "" : ", ") + change.key;
     if (takes_effect_now)
       core::log_line("reload: " + change.key + " from " + change.from + " to " + change.to);
@@ -146,9 +146,9 @@
 
 int serve(const StringList& raw_arguments, const ExtensionFactory& default_extension) {
   FilePaths files;
-  cli::Arguments arguments;
+  cli::ArgumentParser arguments;
   files.add_options_to(arguments.options);
-  if (!arguments.read(raw_arguments, "serve [options]", "Runs the dispatcher until SIGTERM.", 0)) return 0;
+  if (!arguments.parse(raw_arguments, "serve [options]", "Runs the dispatcher until SIGTERM.", 0)) return 0;
   core::Config config = load_and_validate(files);
   // Limits malloc to two arenas: with a thread for each link, an arena per thread would use up the memory
   // limit.
@@ -163,11 +163,11 @@
 
   rlimit descriptors{};
   if (getrlimit(RLIMIT_NOFILE, &descriptors) == 0)
-    config.sockets = std::min<std::size_t>(config.sockets, descriptors.rlim_cur);
+    config.max_sockets = std::min<std::size_t>(config.max_sockets, descriptors.rlim_cur);
   core::Clock clock;
   ExtensionFactory extension_factory = default_extension;
 #ifdef WOADTIDE_JOBS
-  std::optional<log::Structured> log;
+  std::optional<log::AsyncLog> log;
   config::OperatorFile active;
   if (!files.operator_path.empty()) {
     active = config::load_operator_file(files.operator_path);
@@ -186,19 +186,19 @@
     }
 #endif
   }
-  node.finish();
+  node.shut_down();
   return 0;
 }
 
 int check_config(const StringList& raw_arguments) {
   FilePaths files;
-  cli::Arguments arguments;
+  cli::ArgumentParser arguments;
   files.add_options_to(arguments.options);
-  if (!arguments.read(raw_arguments, "check-config [options]",
-                      "Checks whether the files are valid for serve.", 0))
+  if (!arguments.parse(raw_arguments, "check-config [options]",
+                       "Checks whether the files are valid for serve.", 0))
     return 0;
   const core::Config config = load_and_validate(files);
-  const endpoints::EndpointLimits list = Budget(config.sockets, config.memory_mb).list;
+  const endpoints::EndpointLimits list = ResourceBudget(config.max_sockets, config.max_memory_mb).list_limits;
   std::cout << files.config_path << ": good\n";
   std::cout << files.config_path << ": memory for an endpoint list of up to " << list.max_endpoints
             << " workers, " << list.max_update_bytes / 1'000 << " KB of text\n";
@@ -207,16 +207,16 @@
 }
 
 int version(const StringList& raw_arguments) {
-  cli::Arguments arguments;
+  cli::ArgumentParser arguments;
   bool as_json = false;
   arguments.options.add_options()("json", options::bool_switch(&as_json),
                                   "as JSON, with the supported formats");
-  if (!arguments.read(raw_arguments, "version [--json]", "Prints the version.", 0)) return 0;
+  if (!arguments.parse(raw_arguments, "version [--json]", "Prints the version.", 0)) return 0;
   if (!as_json) {
     std::cout << "woadtide " WOADTIDE_VERSION "\n";
     return 0;
   }
-  nlohmann::json document = {{"version", WOADTIDE_VERSION}, {"kin", core::kKinVersion}};
+  nlohmann::json document = {{"version", WOADTIDE_VERSION}, {"kin", core::kSiblingProtocolVersion}};
 #ifdef WOADTIDE_JOBS
   document["operator_file"] = config::kFileFormat;
 #endif
@@ -227,8 +227,8 @@
 #ifdef WOADTIDE_JOBS
 int jobs_or_store(const std::string& command, const StringList& raw_arguments) {
   FilePaths files;
-  cli::Arguments arguments;
-  cli::Words job;
+  cli::ArgumentParser arguments;
+  cli::JobArguments job;
   files.add_operator_option(arguments.options);
   std::string usage, description;
   if (command == "jobs") {
@@ -244,11 +244,11 @@
     arguments.options.add_options()("keep-hours", options::value(&job.keep_hours),
                                     "compact: delete jobs that ended longer ago than this");
   }
-  if (!arguments.read(raw_arguments, usage, description, 2)) return 0;
+  if (!arguments.parse(raw_arguments, usage, description, 2)) return 0;
   if (files.operator_path.empty())
     throw std::runtime_error("no operator's file: give --operator or set WOADTIDE_OPERATOR");
   const auto file = config::load_operator_file(files.operator_path);
-  job.places = arguments.words;
+  job.positional = arguments.positional;
   return command == "jobs" ? cli::jobs_command(job, file.jobs) : cli::store_command(job, file.jobs);
 }
 #endif
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -41,7 +41,7 @@
 
 // Queries -------------------------------------------------------------------------------------------------
 
-int Rollout::on_new() const {
+int Rollout::new_version_count() const {
   return static_cast<int>(std::count_if(members_.begin(), members_.end(), [](const auto& item) {
     const MemberState state = item.second.state;
     return state == MemberState::moving || state == MemberState::on_new || state == MemberState::returning ||
@@ -62,7 +62,7 @@
   for (const auto& [name, progress] : members_) {
     if (progress.zone != zone) continue;
     all += 1;
-    const bool down = !progress.alive && phase_ != Phase::going_back;
+    const bool down = !progress.alive && phase_ != Phase::rolling_back;
     out_of_service +=
         progress.state == MemberState::moving || progress.state == MemberState::returning || down;
   }
@@ -128,7 +128,7 @@
 std::vector<Order> Rollout::next_orders(double now) {
   std::vector<Order> orders;
   // A rollback continues even while paused: a pause must not keep members on a worse version.
-  if (phase_ == Phase::going_back) {
+  if (phase_ == Phase::rolling_back) {
     bool busy = false;
     for (auto& [name, progress] : members_) {
       busy = busy || progress.order.has_value();
@@ -138,10 +138,10 @@
       progress.state = MemberState::returning;
       issue_order(now, name, Order::Kind::go_back, orders);
     }
-    if (!busy) phase_ = Phase::back;
+    if (!busy) phase_ = Phase::rolled_back;
     return orders;
   }
-  if (over() || !pause_reason_.empty()) return orders;
+  if (finished() || !pause_reason_.empty()) return orders;
   if (phase_ == Phase::checking) {
     bool all = true;
     for (auto& [name, progress] : members_) {
@@ -154,7 +154,7 @@
     phase_started_at_ = now;
   }
   if (phase_ == Phase::moving) {
-    while (on_new() < allowed_on_new()) {
+    while (new_version_count() < allowed_on_new()) {
       const std::string member = next_member_to_move();
       if (member.empty()) break;
       members_.at(member).state = MemberState::moving;
@@ -175,7 +175,8 @@
   return orders;
 }
 
-std::vector<Order> Rollout::answered(double now, const Order& order, bool done, const std::string& why) {
+std::vector<Order> Rollout::on_order_result(double now, const Order& order, bool done,
+                                            const std::string& why) {
   const auto found = members_.find(order.member);
   if (found == members_.end() || found->second.order != order.kind || found->second.number != order.number)
     return {};
@@ -202,7 +203,7 @@
     case Order::Kind::check:
       // No member runs the new version yet, so the rollout ends here.
       if (phase_ == Phase::checking) rollback_reason_ = member + " cannot take it: " + why;
-      if (phase_ == Phase::checking) phase_ = Phase::back;
+      if (phase_ == Phase::checking) phase_ = Phase::rolled_back;
       for (auto& [name, other] : members_) other.order.reset();
       return;
     case Order::Kind::move:
@@ -222,9 +223,9 @@
 }
 
 void Rollout::roll_back(const std::string& why) {
-  if (over() || phase_ == Phase::going_back) return;
+  if (finished() || phase_ == Phase::rolling_back) return;
   rollback_reason_ = why;
-  phase_ = on_new() == 0 ? Phase::back : Phase::going_back;
+  phase_ = new_version_count() == 0 ? Phase::rolled_back : Phase::rolling_back;
   pause_reason_.clear();
   for (auto& [name, progress] : members_) {
     if (!progress.order || *progress.order == Order::Kind::go_back ||
@@ -236,7 +237,8 @@
   }
 }
 
-std::vector<Order> Rollout::found(double now, const std::string& member, bool alive, bool runs_new) {
+std::vector<Order> Rollout::on_member_status(double now, const std::string& member, bool alive,
+                                             bool runs_new) {
   const auto found = members_.find(member);
   if (found == members_.end()) return {};
   MemberProgress& progress = found->second;
@@ -253,18 +255,18 @@
   if (progress.state == MemberState::on_old && runs_new) {
     progress.state = MemberState::on_new;
     if (phase_ == Phase::complete || phase_ == Phase::checking) return next_orders(now);
-    if (phase_ == Phase::back) phase_ = Phase::going_back;
+    if (phase_ == Phase::rolled_back) phase_ = Phase::rolling_back;
   }
   return next_orders(now);
 }
 
-std::vector<Order> Rollout::judged(double now, Word word, const std::string& why) {
-  if (over() || phase_ == Phase::going_back || phase_ == Phase::checking) return {};
-  if (word == Word::worse) {
+std::vector<Order> Rollout::on_assessment(double now, StageAssessment word, const std::string& why) {
+  if (finished() || phase_ == Phase::rolling_back || phase_ == Phase::checking) return {};
+  if (word == StageAssessment::worse) {
     roll_back("stage " + std::to_string(stage_ + 1) + " does worse: " + why);
     return next_orders(now);
   }
-  if (word == Word::not_worse && phase_ == Phase::baking && pause_reason_.empty() &&
+  if (word == StageAssessment::not_worse && phase_ == Phase::baking && pause_reason_.empty() &&
       now >= phase_started_at_ + plan_.bake_ms) {
     if (stage_ + 1 == static_cast<int>(plan_.stages.size())) {
       phase_ = Phase::complete;
@@ -279,14 +281,14 @@
 
 std::vector<Order> Rollout::on_fallback(double now, const std::string& member, const std::string& why) {
   const auto found = members_.find(member);
-  if (found == members_.end() || over() || phase_ == Phase::going_back || phase_ == Phase::checking)
+  if (found == members_.end() || finished() || phase_ == Phase::rolling_back || phase_ == Phase::checking)
     return {};
   if (!found->second.order) found->second.state = MemberState::on_old;
   roll_back(member + " went back by itself: " + why);
   return next_orders(now);
 }
 
-std::optional<Order> Rollout::out(const std::string& member) const {
+std::optional<Order> Rollout::outstanding_order(const std::string& member) const {
   const MemberProgress& progress = members_.at(member);
   if (!progress.order || progress.attempts == 0) return std::nullopt;
   return Order{*progress.order, member, progress.number};
@@ -295,7 +297,7 @@
 // Operator commands ---------------------------------------------------------------------------------------
 
 void Rollout::pause(const std::string& why) {
-  if (!over() && phase_ != Phase::going_back) pause_reason_ = why.empty() ? "by an operator" : why;
+  if (!finished() && phase_ != Phase::rolling_back) pause_reason_ = why.empty() ? "by an operator" : why;
 }
 
 std::vector<Order> Rollout::resume(double now) {
@@ -309,16 +311,16 @@
   return next_orders(now);
 }
 
-std::vector<Order> Rollout::outstanding() const {
+std::vector<Order> Rollout::outstanding_orders() const {
   std::vector<Order> orders;
   for (const auto& [name, progress] : members_)
-    if (const auto order = out(name)) orders.push_back(*order);
+    if (const auto order = outstanding_order(name)) orders.push_back(*order);
   return orders;
 }
 
 // Serialization -------------------------------------------------------------------------------------------
 
-std::string Rollout::text() const {
+std::string Rollout::serialize() const {
   json members = json::object(), order = json::array();
   for (const auto& [name, progress] : members_)
     members[name] = {
@@ -385,7 +387,8 @@
       restored.members_[name] = member;
     }
     if (const std::string error = plan_error(plan); !error.empty()) throw std::invalid_argument(error);
-    restored.phase_ = static_cast<Phase>(int_in_range(object.at("phase"), 0, static_cast<int>(Phase::back)));
+    restored.phase_ =
+        static_cast<Phase>(int_in_range(object.at("phase"), 0, static_cast<int>(Phase::rolled_back)));
     restored.stage_ = int_in_range(object.at("stage"), 0, static_cast<int>(plan.stages.size()) - 1);
     restored.last_order_number_ = object.at("numbers");
     restored.phase_started_at_ = object.at("since");
--- a/src/rollout/rollout.hpp
+++ b/src/rollout/rollout.hpp
@@ -37,7 +37,7 @@
 // stored by their position.
 enum class MemberState { unchecked, on_old, moving, on_new, returning, kept_out };
 // Phase of the rollout, stored by its position. `complete` and `back` are final.
-enum class Phase { checking, moving, baking, going_back, complete, back };
+enum class Phase { checking, moving, baking, rolling_back, complete, rolled_back };
 
 // An instruction to a member's supervisor. Orders are idempotent.
 struct Order {
@@ -51,7 +51,7 @@
 };
 
 // Assessment of the current stage by the statistical comparison.
-enum class Word { not_worse, worse, cannot_tell };
+enum class StageAssessment { not_worse, worse, cannot_tell };
 
 class Rollout {
  public:
@@ -61,7 +61,7 @@
   // version.
   static Rollout parse(const std::string& text);
   // Returns the complete state as JSON.
-  std::string text() const;
+  std::string serialize() const;
 
   // Events. Each returns the new orders; the caller must store serialize() before it sends them.
 
@@ -69,11 +69,11 @@
   std::vector<Order> tick(double now);
   // The result of an order. `why` is the error if `done` is false. A result for an order that is no longer
   // outstanding is ignored.
-  std::vector<Order> answered(double now, const Order& order, bool done, const std::string& why);
+  std::vector<Order> on_order_result(double now, const Order& order, bool done, const std::string& why);
   // The observed status of a member: it may have crashed, or restarted with the other version.
-  std::vector<Order> found(double now, const std::string& member, bool alive, bool runs_new);
+  std::vector<Order> on_member_status(double now, const std::string& member, bool alive, bool runs_new);
   // The assessment of the current stage; `why` explains `worse`.
-  std::vector<Order> judged(double now, Word word, const std::string& why);
+  std::vector<Order> on_assessment(double now, StageAssessment word, const std::string& why);
   // Operator command: pauses the rollout, without effect on a rollback. `why` may be empty.
   void pause(const std::string& why);
   // A member's supervisor has left the new version on its own; rolls back as for `worse`.
@@ -87,23 +87,23 @@
   std::vector<Order> resume(double now);
   std::vector<Order> abort(double now);
   // Returns all orders without a result. To be sent again after parse(); orders are idempotent.
-  std::vector<Order> outstanding() const;
+  std::vector<Order> outstanding_orders() const;
 
   Phase phase() const { return phase_; }
   // Returns true if the phase is final.
-  bool over() const { return phase_ == Phase::complete || phase_ == Phase::back; }
+  bool finished() const { return phase_ == Phase::complete || phase_ == Phase::rolled_back; }
   // Returns why the rollout is paused, or an empty string if it is not.
-  const std::string& paused() const { return pause_reason_; }
+  const std::string& pause_reason() const { return pause_reason_; }
   // Returns why the rollout goes back or went back, or an empty string.
-  const std::string& reason() const { return rollback_reason_; }
+  const std::string& rollback_reason() const { return rollback_reason_; }
   // Returns the index of the current stage, from 0.
   int stage() const { return stage_; }
   const Plan& plan() const { return plan_; }
   // Returns the outstanding order of a member, if there is one.
-  std::optional<Order> out(const std::string& member) const;
+  std::optional<Order> outstanding_order(const std::string& member) const;
   MemberState member_state(const std::string& member) const { return members_.at(member).state; }
   // Returns how many members are on the new version, or may be because an order is outstanding.
-  int on_new() const;
+  int new_version_count() const;
   // Returns how many members the current stage allows on the new version.
   int allowed_on_new() const;
 
--- a/src/state/state.cpp
+++ b/src/state/state.cpp
@@ -68,7 +68,7 @@
   return file_system;
 }
 
-void File::write(std::string_view text) {
+void StateFile::write(std::string_view text) {
   const auto fail = [this](const char* problem) {
     throw std::system_error(errno, std::generic_category(), path_ + ": " + problem);
   };
@@ -104,15 +104,15 @@
   if (file_system_.sync_directory(directory_of(path_).c_str()) != 0) fail("its directory cannot be synced");
 }
 
-Read File::read() const {
-  Read read;
+ReadResult StateFile::read() const {
+  ReadResult read;
   std::string text;
   const FileStatus newest_status = read_file(path_, text);
   if (newest_status == FileStatus::intact) return {text, {}};
   const FileStatus previous_status = read_file(path_ + ".before", text);
   if (previous_status == FileStatus::intact) {
     read.text = text;
-    read.trouble = path_ + (newest_status == FileStatus::damaged ? " is damaged" : " is missing") +
+    read.warning = path_ + (newest_status == FileStatus::damaged ? " is damaged" : " is missing") +
                    ": using the previous version";
     return read;
   }
--- a/src/state/state.hpp
+++ b/src/state/state.hpp
@@ -28,15 +28,15 @@
 FileSystem& real_file_system();
 
 // Result of reading a state file.
-struct Read {
+struct ReadResult {
   std::optional<std::string> text;  // empty if nothing was stored yet
-  std::string trouble;              // why the newest version could not be used; empty if it was
+  std::string warning;              // why the newest version could not be used; empty if it was
 };
 
 // A file that holds one text, and its previous version.
-class File {
+class StateFile {
  public:
-  explicit File(std::string path, FileSystem& file_system = real_file_system())
+  explicit StateFile(std::string path, FileSystem& file_system = real_file_system())
       : path_(std::move(path)), file_system_(file_system) {}
 
   // Stores the text; it is on disk once this returns. Throws std::system_error if it is not, or may not be,
@@ -44,7 +44,7 @@
   void write(std::string_view text);
   // Reads the newest intact version. The next write() keeps a damaged file as PATH.damaged. Throws
   // std::runtime_error if versions exist but none is intact, or if one has a newer format.
-  Read read() const;
+  ReadResult read() const;
 
  private:
   const std::string path_;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -193,10 +193,10 @@
     if (Statement set_mode(*this, "PRAGMA journal_mode=WAL");
         !set_mode.step() || set_mode.column_text(0) != "wal")
       throw_last_error();
-    run(options.synced ? "PRAGMA synchronous=FULL" : "PRAGMA synchronous=OFF");
+    run(options.sync_commits ? "PRAGMA synchronous=FULL" : "PRAGMA synchronous=OFF");
     run("PRAGMA cache_size=-2000");
     run("PRAGMA journal_size_limit=8000000");
-    run(("PRAGMA max_page_count=" + std::to_string(options.most_bytes / kPageBytes + 64)).c_str());
+    run(("PRAGMA max_page_count=" + std::to_string(options.max_bytes / kPageBytes + 64)).c_str());
     // Acquires the lock, which is held until the file is closed.
     run("BEGIN IMMEDIATE");
     // A new open job is a row after the last one, so that accepting a job changes one page; once it is closed
@@ -282,7 +282,10 @@
     }
     Statement& write =
         prepare("INSERT INTO open_job(key,changed,meta,sum,body,body_sum) VALUES(?,?,?,?,?,?)");
-    write.bind_text(1, record.key).bind_real(2, record.changed).bind_text(3, record.meta).bind_number(4, sum);
+    write.bind_text(1, record.key)
+        .bind_real(2, record.changed_at)
+        .bind_text(3, record.meta)
+        .bind_number(4, sum);
     if (record.body && !separate_body)
       write.bind_text(5, *record.body).bind_number(6, checksum_of(record.key, *record.body));
     else
@@ -291,7 +294,7 @@
     found = open_job_ids.emplace(record.key, sqlite3_last_insert_rowid(db_)).first;
   } else {
     Statement& write = prepare("UPDATE open_job SET changed=?,meta=?,sum=? WHERE id=?");
-    write.bind_real(1, record.changed)
+    write.bind_real(1, record.changed_at)
         .bind_text(2, record.meta)
         .bind_number(3, sum)
         .bind_number(4, found->second)
@@ -331,8 +334,8 @@
       id ? prepare("UPDATE job SET standing=?2,changed=?3,packed=0,meta=?4,sum=?5 WHERE key=?1")
          : prepare("INSERT INTO job(key,standing,changed,meta,sum) VALUES(?1,?2,?3,?4,?5)");
   write.bind_text(1, record.key)
-      .bind_number(2, static_cast<int>(record.standing))
-      .bind_real(3, record.changed);
+      .bind_number(2, static_cast<int>(record.state))
+      .bind_real(3, record.changed_at);
   write.bind_text(4, record.meta).bind_number(5, checksum_of(record.key, record.meta)).execute();
   if (!id) id = sqlite3_last_insert_rowid(db_);
   if (body) write_part(*id * 2 + kBody, record.key, *body, kPlain);
@@ -347,7 +350,7 @@
   if (records.empty()) return;
   file_->prepare("BEGIN").execute();
   for (const Record& record : records) {
-    if (record.standing == Standing::open)
+    if (record.state == RecordState::open)
       file_->write_open(record);
     else
       file_->write_ended(record);
@@ -360,8 +363,8 @@
 Record read_record(Statement& row, Store::File& file) {
   Record record;
   record.key = row.column_text(0);
-  record.standing = static_cast<Standing>(row.column_number(1));
-  record.changed = row.column_real(2);
+  record.state = static_cast<RecordState>(row.column_number(1));
+  record.changed_at = row.column_real(2);
   record.meta = row.column_text(3);
   if (row.column_number(4) != checksum_of(record.key, record.meta)) file.throw_damaged(record.key);
   return record;
@@ -395,9 +398,9 @@
   return id ? file_->read_part(*id * 2 + kResult, key) : std::nullopt;
 }
 
-void Store::read(Standing standing, const std::function<bool(Record)>& take) {
-  const char* sql = standing == Standing::open ? "SELECT key,1,changed,meta,sum FROM open_job ORDER BY id"
-                    : standing == Standing::retained
+void Store::for_each(RecordState standing, const std::function<bool(Record)>& take) {
+  const char* sql = standing == RecordState::open ? "SELECT key,1,changed,meta,sum FROM open_job ORDER BY id"
+                    : standing == RecordState::retained
                         ? "SELECT key,2,changed,meta,sum FROM job WHERE standing=2 ORDER BY id"
                         : "SELECT key,0,changed,meta,sum FROM job WHERE standing=0 ORDER BY changed DESC";
   Statement rows(*file_, sql);
@@ -405,7 +408,7 @@
   }
 }
 
-double Store::newest() {
+double Store::newest_change() {
   double newest_change = 0;
   for (const char* sql :
        {"SELECT max(changed) FROM job WHERE standing=0", "SELECT max(changed) FROM open_job",
@@ -416,8 +419,8 @@
   return newest_change;
 }
 
-Store::Compacted Store::compact(double older_than, std::size_t max_records) {
-  Compacted compacted;
+Store::CompactionCounts Store::compact(double older_than, std::size_t max_records) {
+  CompactionCounts compacted;
   const auto select_rows = [&](const char* sql) {
     std::vector<std::pair<std::int64_t, std::string>> found;
     Statement select(*file_, sql);
@@ -437,7 +440,7 @@
   for (const auto& [id, key] : expired) {
     delete_parts.bind_number(1, id).execute();
     delete_job.bind_number(1, id).execute();
-    compacted.dropped += 1;
+    compacted.deleted += 1;
   }
   for (const auto& [id, key] : uncompressed) {
     for (const Part which : {kBody, kResult}) {
@@ -448,7 +451,7 @@
         file_->write_part(id * 2 + which, key, smaller, kCompressed);
     }
     mark_packed.bind_number(1, id).execute();
-    compacted.packed += 1;
+    compacted.compressed += 1;
   }
   file_->run("COMMIT");
   return compacted;
@@ -473,7 +476,8 @@
     count += 1;
     return true;
   };
-  for (const auto standing : {Standing::open, Standing::retained, Standing::closed}) read(standing, verify);
+  for (const auto standing : {RecordState::open, RecordState::retained, RecordState::closed})
+    for_each(standing, verify);
   return count;
 }
 
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -30,21 +30,21 @@
 // The numbers are stored in the file.
 // open: read at the start; retained: neither read at the start nor compacted; closed: compacted once it is
 // old.
-enum class Standing { closed = 0, open = 1, retained = 2 };
+enum class RecordState { closed = 0, open = 1, retained = 2 };
 
 // What the store holds under one key.
 struct Record {
   std::string key;
   std::string meta;  // defined by the owner, opaque to the store
-  Standing standing = Standing::open;
-  double changed = 0;                                 // Unix time in ms; compaction selects records by it
+  RecordState state = RecordState::open;
+  double changed_at = 0;                              // Unix time in ms; compaction selects records by it
   std::optional<std::string> body = {}, result = {};  // absent: unchanged
 };
 
 struct Options {
-  std::string folder;                     // created if it does not exist
-  std::uint64_t most_bytes = 1ULL << 30;  // limit of the file's size
-  bool synced = true;                     // whether commits are synced; false is for measurements only
+  std::string folder;                    // created if it does not exist
+  std::uint64_t max_bytes = 1ULL << 30;  // limit of the file's size
+  bool sync_commits = true;              // whether commits are synced; false is for measurements only
 };
 
 // The open store file. Every call may throw StoreError, also if a checksum does not match.
@@ -64,18 +64,18 @@
   std::optional<std::string> result(const std::string& key);
   // Passes the records of this standing to `take`: closed ones by descending time of change, others in the
   // order of insertion. Stops when `take` returns false.
-  void read(Standing standing, const std::function<bool(Record)>& take);
+  void for_each(RecordState standing, const std::function<bool(Record)>& take);
   // The latest `changed` of all records (Unix time in ms), 0 if there are none.
-  double newest();
+  double newest_change();
 
   // The number of records that compact() deleted and compressed.
-  struct Compacted {
-    std::size_t dropped = 0, packed = 0;
+  struct CompactionCounts {
+    std::size_t deleted = 0, compressed = 0;
   };
   // Deletes up to `max_records` closed records that changed before `older_than` (Unix time in ms), and
   // compresses up to `max_records` of the other closed ones. One commit; call it again until both counts are
   // 0.
-  Compacted compact(double older_than, std::size_t max_records);
+  CompactionCounts compact(double older_than, std::size_t max_records);
 
   // Bytes of the file in use, without free pages that can be reused; to be compared with Options::most_bytes.
   std::uint64_t bytes_used();
--- a/src/supervise/supervise.cpp
+++ b/src/supervise/supervise.cpp
@@ -34,11 +34,12 @@
   return static_cast<Order::Kind>(found - kOrderNames.begin());
 }
 
-Core::Core(Version first, Limits limits) : limits_(limits), desired_(first), last_good_(std::move(first)) {}
+SupervisorCore::SupervisorCore(Version first, Limits limits)
+    : limits_(limits), desired_(first), last_good_(std::move(first)) {}
 
 // Children ------------------------------------------------------------------------------------------------
 
-int Core::active_slot() const {
+int SupervisorCore::active_slot() const {
   int active = -1;
   for (int slot = 0; slot < kSlots; ++slot)
     if (child(slot).state == ChildState::serving &&
@@ -47,18 +48,18 @@
   return active;
 }
 
-int Core::free_slot() const {
+int SupervisorCore::free_slot() const {
   for (int slot = 0; slot < kSlots; ++slot)
     if (child(slot).state == ChildState::none) return slot;
   return -1;
 }
 
-void Core::start(double now, int slot, Effects& effects) {
+void SupervisorCore::start(double now, int slot, Effects& effects) {
   children_[static_cast<std::size_t>(slot)] = {ChildState::starting, desired_, now, false, ++starts_};
   effects.push_back({Effect::Kind::start, slot, desired_});
 }
 
-void Core::request_stop(double now, int slot, Effects& effects) {
+void SupervisorCore::request_stop(double now, int slot, Effects& effects) {
   Child& child = children_[static_cast<std::size_t>(slot)];
   if (child.state == ChildState::stopping) return;
   child.state = ChildState::stopping;
@@ -69,7 +70,7 @@
 // Takes one step from the current state towards a single child of the desired version. There are never more
 // than two children, and the active child is stopped only if another one serves or if none can be started
 // beside it.
-Effects Core::converge(double now) {
+Effects SupervisorCore::converge(double now) {
   Effects effects;
   const int active = this->active_slot();
   bool starting = false, stopping = false;
@@ -96,7 +97,7 @@
   return effects;
 }
 
-Effects Core::tick(double now) {
+Effects SupervisorCore::tick(double now) {
   Effects effects;
   for (int slot = 0; slot < kSlots; ++slot) {
     Child& child = children_[static_cast<std::size_t>(slot)];
@@ -117,7 +118,7 @@
   return effects;
 }
 
-Effects Core::serves(double now, int slot) {
+Effects SupervisorCore::on_ready(double now, int slot) {
   Child& child = children_.at(static_cast<std::size_t>(slot));
   if (child.state != ChildState::starting || child.killed) return {};
   child.state = ChildState::serving;
@@ -127,7 +128,7 @@
   return converge(now);
 }
 
-Effects Core::on_exit(double now, int slot) {
+Effects SupervisorCore::on_exit(double now, int slot) {
   Child& child = children_.at(static_cast<std::size_t>(slot));
   const Child ended = child;
   child = {};
@@ -144,7 +145,7 @@
 
 // Handles the crash of the child that took the clients or was about to: the next start is delayed, and a
 // version that never became good is replaced by the last good one.
-void Core::handle_crash(double now) {
+void SupervisorCore::handle_crash(double now) {
   earliest_start_at_ =
       now + std::min(limits_.max_backoff_ms,
                      limits_.first_backoff_ms * std::pow(2.0, std::min(consecutive_crashes_, 20)));
@@ -158,7 +159,7 @@
 
 // Ends a change whose child does not come up: the active child continues, or if there is none the last good
 // version is started.
-void Core::fail_change(double now, const std::string& why) {
+void SupervisorCore::fail_change(double now, const std::string& why) {
   if (progress_ != Progress::working || order_kind_ == Order::Kind::check) return;
   progress_ = Progress::failed;
   failure_reason_ = why;
@@ -169,7 +170,7 @@
 
 // Orders --------------------------------------------------------------------------------------------------
 
-std::string Core::handle_order(double now, const Order& order, Effects& effects) {
+std::string SupervisorCore::handle_order(double now, const Order& order, Effects& effects) {
   if (shutting_down_) return "this supervisor is ending";
   if (!controller_.empty() && order.controller != controller_ && !order.take_over)
     return "controller " + controller_ + " leads here; --take-over ends that";
@@ -212,8 +213,8 @@
   return {};
 }
 
-Effects Core::on_examined(double now, std::uint64_t number, const Version& version,
-                          const std::string& failure) {
+Effects SupervisorCore::on_examined(double now, std::uint64_t number, const Version& version,
+                                    const std::string& failure) {
   if (number != last_order_number_ || order_kind_ != Order::Kind::check || progress_ != Progress::working)
     return {};
   progress_ = failure.empty() ? Progress::done : Progress::failed;
@@ -222,7 +223,7 @@
   return converge(now);
 }
 
-void Core::exclude(const std::string& worker, bool out) {
+void SupervisorCore::set_excluded(const std::string& worker, bool out) {
   if (out)
     excluded_workers_.insert(worker);
   else
@@ -231,21 +232,21 @@
 
 // Start and shutdown --------------------------------------------------------------------------------------
 
-Effects Core::begin_shutdown(double now) {
+Effects SupervisorCore::begin_shutdown(double now) {
   shutting_down_ = true;
   return converge(now);
 }
 
-bool Core::shutdown_complete() const {
+bool SupervisorCore::shutdown_complete() const {
   return shutting_down_ && std::all_of(children_.begin(), children_.end(),
                                        [](const Child& child) { return child.state == ChildState::none; });
 }
 
-void Core::adopt(double now, int slot, const Version& version) {
+void SupervisorCore::adopt(double now, int slot, const Version& version) {
   children_.at(static_cast<std::size_t>(slot)) = {ChildState::starting, version, now, false, ++starts_};
 }
 
-std::string Core::text() const {
+std::string SupervisorCore::serialize() const {
   const auto optional_version = [](const std::optional<Version>& version) {
     return version ? version_to_json(*version) : json(nullptr);
   };
@@ -267,7 +268,7 @@
       .dump(1);
 }
 
-Core Core::from(const std::string& text, Limits limits) {
+SupervisorCore SupervisorCore::parse(const std::string& text, Limits limits) {
   const json object = json::parse(text, nullptr, false);
   if (!object.is_object()) throw std::invalid_argument("no state of a supervisor");
   try {
@@ -277,7 +278,7 @@
     const auto optional_version = [&](const char* key) {
       return object.at(key).is_null() ? std::nullopt : std::optional(version_from_json(object.at(key)));
     };
-    Core restored;
+    SupervisorCore restored;
     restored.limits_ = limits;
     restored.desired_ = version_from_json(object.at("wanted"));
     restored.last_good_ = version_from_json(object.at("good"));
--- a/src/supervise/supervise.hpp
+++ b/src/supervise/supervise.hpp
@@ -66,16 +66,16 @@
   std::uint64_t start_number = 0;  // among serving children the latest one started is active
 };
 
-class Core {
+class SupervisorCore {
  public:
   static constexpr int kSlots = 2;  // at most an old and a new child
   // Starts with `first` as the desired and the last good version.
-  Core(Version first, Limits limits);
+  SupervisorCore(Version first, Limits limits);
   // Restores the state from serialize(). Throws std::invalid_argument if the text is malformed or of another
   // format.
-  static Core from(const std::string& text, Limits limits);
+  static SupervisorCore parse(const std::string& text, Limits limits);
   // Returns the stored part of the state as JSON; children are not included, see adopt().
-  std::string text() const;
+  std::string serialize() const;
 
   // Before the first tick: registers a child that has survived the previous supervisor, serving or not yet.
   void adopt(double now, int slot, const Version& version);
@@ -88,7 +88,7 @@
   // Time has passed: enforces timeouts and takes the next step.
   Effects tick(double now);
   // The child in `slot` accepts clients.
-  Effects serves(double now, int slot);
+  Effects on_ready(double now, int slot);
   // The child in `slot` has ended.
   Effects on_exit(double now, int slot);
   // An order has arrived. Returns why it is refused, in one line, or an empty string. Appends the effects.
@@ -98,7 +98,7 @@
   // The dispatcher takes no clients: set by an operator, or observed at the child.
   void set_evacuated(bool evacuated) { evacuated_ = evacuated; }
   // Adds a worker to the excluded ones, or removes it.
-  void exclude(const std::string& worker, bool out);
+  void set_excluded(const std::string& worker, bool out);
   // Planned shutdown: all children are stopped; shutdown_complete() returns true once they have ended.
   Effects begin_shutdown(double now);
   bool shutdown_complete() const;
@@ -130,7 +130,7 @@
   int active_slot() const;
 
  private:
-  Core() = default;
+  SupervisorCore() = default;
   Effects converge(double now);
   void start(double now, int slot, Effects& effects);
   void request_stop(double now, int slot, Effects& effects);
--- a/src/supervise/supervisor.cpp
+++ b/src/supervise/supervisor.cpp
@@ -183,28 +183,28 @@
           ": must not set a management address; supervise.management sets one for each child");
     history_ =
         park::Fd(::open(file("history.jsonl").c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
-    const state::Read read = file_.read();
-    if (!read.trouble.empty()) core::log_line("supervise: " + read.trouble);
+    const state::ReadResult read = file_.read();
+    if (!read.warning.empty()) core::log_line("supervise: " + read.warning);
     if (read.text) {
-      core_ = Core::from(*read.text, options_.limits);
+      core_ = SupervisorCore::parse(*read.text, options_.limits);
     } else {
       Version first = versions_.copy(options_.program, options_.settings);
-      first.protocol_version = core::kKinVersion;
-      core_ = Core(first, options_.limits);
+      first.protocol_version = core::kSiblingProtocolVersion;
+      core_ = SupervisorCore(first, options_.limits);
     }
     return net::Socket::listen_at(net::Address(options_.control));
   }
 
   void save_or_throw() {
-    file_.write(core_.text());
-    stored_state_ = core_.text();
+    file_.write(core_.serialize());
+    stored_state_ = core_.serialize();
   }
 
   // Finds the children of a previous supervisor. The active one passes the listening socket back; without any
   // child it is opened anew.
   void find_children() {
     bool found_child = false;
-    for (int slot = 0; slot < Core::kSlots; ++slot) {
+    for (int slot = 0; slot < SupervisorCore::kSlots; ++slot) {
       ProcessId process;
       std::string version_id;
       std::ifstream(pid_file(slot)) >> process.pid >> process.start_ticks >> version_id;
@@ -215,7 +215,8 @@
       for (const auto& known : {std::optional(core_.last_good()), core_.candidate(), core_.previous()})
         if (known && known->id == version_id) version = *known;
       core_.adopt(clock_.now(), slot, version);
-      net::Tethered connection = net::reach(control_socket_path(slot), kControlSocketTimeoutMs);
+      net::ControlSocketConnection connection =
+          net::connect_control_socket(control_socket_path(slot), kControlSocketTimeoutMs);
       if (connection.pid == process.pid && connection.listener) listener_ = std::move(connection.listener);
       core::log_line("supervise: found process " + std::to_string(process.pid) + " of version " + version_id +
                      (listener_ ? "" : ", which cannot give the listening socket back"));
@@ -315,7 +316,7 @@
   void apply_event(const std::function<Effects()>& event) {
     Effects effects = event();
     try {
-      if (core_.text() != stored_state_) save_or_throw();
+      if (core_.serialize() != stored_state_) save_or_throw();
       save_failed_ = false;
     } catch (const std::exception& error) {
       if (!std::exchange(save_failed_, true)) core::log_line(std::string("supervise: ") + error.what());
@@ -335,10 +336,10 @@
         finish_examination_step(status);
         continue;
       }
-      for (int slot = 0; slot < Core::kSlots; ++slot)
+      for (int slot = 0; slot < SupervisorCore::kSlots; ++slot)
         if (child_process(slot).id.pid == pid) handle_exit(slot, status);
     }
-    for (int slot = 0; slot < Core::kSlots; ++slot) {
+    for (int slot = 0; slot < SupervisorCore::kSlots; ++slot) {
       if (child_process(slot).id.pid > 0 && !child_process(slot).is_child &&
           !is_running(child_process(slot).id))
         handle_exit(slot, -1);
@@ -382,15 +383,15 @@
     if (!starting && child.state != ChildState::serving) return;
     if (clock_.now() < process.probed_at + (starting ? kStartingProbeMs : kServingProbeMs)) return;
     const std::string& address = options_.management_addresses.at(static_cast<std::size_t>(slot));
-    const auto answer = net::call(address, "readyz", kChildCallTimeoutMs);
+    const auto answer = net::call_line(address, "readyz", kChildCallTimeoutMs);
     process.probed_at = clock_.now();
     if (!answer) return;
     if (starting) {
       append_history(
           {{"what", "serves"}, {"slot", slot}, {"pid", process.id.pid}, {"version", child.version.id}});
       send_operator_state(slot);  // before its predecessor is told to stop
-      apply_event([&] { return core_.serves(clock_.now(), slot); });
-      if (core_.progress() == Core::Progress::done) remove_unused_versions();
+      apply_event([&] { return core_.on_ready(clock_.now(), slot); });
+      if (core_.progress() == SupervisorCore::Progress::done) remove_unused_versions();
     } else if (!process.operator_state_sent) {
       send_operator_state(slot);
     } else if (const bool evacuated = *answer != "done ready"; evacuated != core_.evacuated()) {
@@ -401,9 +402,10 @@
   void send_operator_state(int slot) {
     const std::string& address = options_.management_addresses.at(static_cast<std::size_t>(slot));
     bool all_confirmed = true;
-    if (core_.evacuated()) all_confirmed = net::call(address, "evacuate", kChildCallTimeoutMs).has_value();
+    if (core_.evacuated())
+      all_confirmed = net::call_line(address, "evacuate", kChildCallTimeoutMs).has_value();
     for (const std::string& worker : core_.excluded_workers()) {
-      const auto answer = net::call(address, "exclude " + worker, kChildCallTimeoutMs);
+      const auto answer = net::call_line(address, "exclude " + worker, kChildCallTimeoutMs);
       all_confirmed = all_confirmed && answer && answer->starts_with("done");
     }
     child_process(slot).operator_state_sent = all_confirmed;
@@ -414,7 +416,7 @@
     std::vector<std::string> ids{core_.desired().id, core_.last_good().id};
     for (const auto& version : {core_.candidate(), core_.previous()})
       if (version) ids.push_back(version->id);
-    for (int slot = 0; slot < Core::kSlots; ++slot) ids.push_back(core_.child(slot).version.id);
+    for (int slot = 0; slot < SupervisorCore::kSlots; ++slot) ids.push_back(core_.child(slot).version.id);
     versions_.keep_only(ids);
   }
 
@@ -493,8 +495,8 @@
   void serve_connection(Connection& connection) {
     std::array<char, 4096> received{};
     std::size_t got = 0;
-    net::Io io = net::Io::done;
-    while ((io = connection.socket.receive(received.data(), received.size(), got)) == net::Io::done)
+    net::IoResult io = net::IoResult::done;
+    while ((io = connection.socket.receive(received.data(), received.size(), got)) == net::IoResult::done)
       if (!connection.answered) connection.input.append(received.data(), got);
     if (const std::size_t end = connection.input.find('\n');
         !connection.answered && end != std::string::npos) {
@@ -503,10 +505,11 @@
       connection.started_at = clock_.now();
     }
     if (connection.answered && !connection.output.empty()) {
-      connection.output.erase(0, connection.socket.send_some({connection.output}));
-      if (connection.output.empty()) connection.socket.shut(SHUT_WR);
+      connection.output.erase(0, connection.socket.send_available({connection.output}));
+      if (connection.output.empty()) connection.socket.shut_down(SHUT_WR);
     }
-    connection.closed = io == net::Io::broken || (io == net::Io::ended && connection.output.empty()) ||
+    connection.closed = io == net::IoResult::failed ||
+                        (io == net::IoResult::end_of_stream && connection.output.empty()) ||
                         clock_.now() > connection.started_at + kConnectionTimeoutMs ||
                         connection.input.size() > kMaxRequestBytes;
   }
@@ -542,11 +545,11 @@
     order.settings = request.value("settings", "");
     order.take_over = request.value("take_over", false);
     if (order.kind == Order::Kind::check && order.program.empty()) order.program = core_.desired().program;
-    Core updated = core_;
+    SupervisorCore updated = core_;
     Effects effects;
     const std::string why = updated.handle_order(clock_.now(), order, effects);
     if (!why.empty()) return "error " + why;
-    const std::string text = updated.text();
+    const std::string text = updated.serialize();
     if (text != stored_state_) {
       file_.write(text);  // an order that cannot be stored is not accepted
       stored_state_ = text;
@@ -568,18 +571,18 @@
     const int active = core_.active_slot();
     if (active < 0) return "done";
     child_process(active).operator_state_sent = false;
-    const auto answer = net::call(options_.management_addresses.at(static_cast<std::size_t>(active)),
-                                  evacuated ? "evacuate" : "activate", kChildCallTimeoutMs);
+    const auto answer = net::call_line(options_.management_addresses.at(static_cast<std::size_t>(active)),
+                                       evacuated ? "evacuate" : "activate", kChildCallTimeoutMs);
     child_process(active).operator_state_sent = answer.has_value();
     return answer ? "done" : "error it is not done yet";
   }
   std::string set_excluded(const std::string& command, const std::string& worker) {
-    core_.exclude(worker, command == "exclude");
+    core_.set_excluded(worker, command == "exclude");
     save_or_throw();
     const int active = core_.active_slot();
     if (active < 0) return "done";
-    return net::call(options_.management_addresses.at(static_cast<std::size_t>(active)),
-                     command + ' ' + worker, kChildCallTimeoutMs)
+    return net::call_line(options_.management_addresses.at(static_cast<std::size_t>(active)),
+                          command + ' ' + worker, kChildCallTimeoutMs)
         .value_or("error it is not done yet");
   }
 
@@ -591,7 +594,7 @@
     constexpr std::array<const char*, 4> kChildStateNames = {"none", "starting", "serving", "leaving"};
     constexpr std::array<const char*, 4> kProgressNames = {"none", "working", "done", "failed"};
     json children = json::array();
-    for (int slot = 0; slot < Core::kSlots; ++slot)
+    for (int slot = 0; slot < SupervisorCore::kSlots; ++slot)
       if (core_.child(slot).state != ChildState::none)
         children.push_back(
             {{"pid", child_process(slot).id.pid},
@@ -624,14 +627,14 @@
     const int active = core_.active_slot();
     if (active < 0) return "error nobody serves";
     const std::string& address = options_.management_addresses.at(static_cast<std::size_t>(active));
-    auto answer = net::call(address, "figures", kChildCallTimeoutMs);
+    auto answer = net::call_line(address, "figures", kChildCallTimeoutMs);
     json classes;
     if (answer && answer->starts_with("done ")) {
       classes = json::parse(answer->substr(5));
     } else {  // an older program without this command
-      answer = net::call(address, "telemetry", kChildCallTimeoutMs);
+      answer = net::call_line(address, "telemetry", kChildCallTimeoutMs);
       if (!answer || !answer->ends_with("\nend")) return "error no figures";
-      classes = json::parse(core::text_of(core::read_telemetry(*answer)));
+      classes = json::parse(core::serialize(core::parse_telemetry(*answer)));
     }
     const pid_t pid = child_process(active).id.pid;
     return "done " + json({{"pid", pid},
@@ -653,11 +656,11 @@
   const SupervisorOptions options_;
   core::Clock clock_;
   park::Fd lock_, history_;
-  state::File file_;
+  state::StateFile file_;
   Versions versions_;
-  Core core_{Version{}, Limits{}};
+  SupervisorCore core_{Version{}, Limits{}};
   net::Socket control_, listener_;
-  std::array<ChildProcess, Core::kSlots> child_processes_;
+  std::array<ChildProcess, SupervisorCore::kSlots> child_processes_;
   std::optional<Examination> examination_;
   std::list<Connection> connections_;
   std::string stored_state_;
--- a/src/verdict/verdict.cpp
+++ b/src/verdict/verdict.cpp
@@ -26,7 +26,7 @@
 
 int queries_of(const CohortStats& side) {
   int sum = 0;
-  for (const auto& [name, counts] : side.classes) sum += counts.asked;
+  for (const auto& [name, counts] : side.classes) sum += counts.accepted;
   return sum;
 }
 
@@ -121,26 +121,26 @@
       return side.expected_queries > 0 &&
              queries_of(side) > limits_.surge_factor * side.expected_queries + chance_deviation;
     };
-    if (!has_surge(pair.fresh) && !has_surge(pair.old)) compare_counts(pair);
+    if (!has_surge(pair.changed) && !has_surge(pair.reference)) compare_counts(pair);
   }
   compare_resources(slice);
 }
 
-void Verdict::compare_counts(const Pair& pair) {
-  const CohortStats &changed = pair.fresh, &reference = pair.old;
+void Verdict::compare_counts(const CohortPair& pair) {
+  const CohortStats &changed = pair.changed, &reference = pair.reference;
   for (const auto& [name, a] : changed.classes) {
     const auto found = reference.classes.find(name);
-    if (found == reference.classes.end() || a.asked == 0 || found->second.asked == 0) continue;
+    if (found == reference.classes.end() || a.accepted == 0 || found->second.accepted == 0) continue;
     const Counts& b = found->second;
-    const double share = static_cast<double>(a.asked) / (a.asked + b.asked);
+    const double share = static_cast<double>(a.accepted) / (a.accepted + b.accepted);
     const auto compare = [&](const char* what, int events_changed, const Counts::Expected& expected_changed,
                              int events_reference, const Counts::Expected& expected_reference) {
-      add_events(std::string(what) + " of " + name, share, {a.asked, events_changed, expected_changed},
-                 {b.asked, events_reference, expected_reference}, true);
+      add_events(std::string(what) + " of " + name, share, {a.accepted, events_changed, expected_changed},
+                 {b.accepted, events_reference, expected_reference}, true);
     };
     compare("failed", a.failed, a.expected_failed, b.failed, b.expected_failed);
     compare("refused", a.refused, a.expected_refused, b.refused, b.expected_refused);
-    compare("late", a.late, a.expected_late, b.late, b.expected_late);
+    compare("late", a.served_late, a.expected_late, b.served_late, b.expected_late);
     compare("slower than p95", a.slow[0], a.expected_slow[0], b.slow[0], b.expected_slow[0]);
     compare("slower than p99", a.slow[1], a.expected_slow[1], b.slow[1], b.expected_slow[1]);
   }
@@ -164,8 +164,8 @@
     }
   } changed, reference;
   for (const auto& [zone, pair] : slice) {
-    changed.add(pair.fresh);
-    reference.add(pair.old);
+    changed.add(pair.changed);
+    reference.add(pair.reference);
   }
   if (changed.dispatchers == 0 || reference.dispatchers == 0) return;
   const double changed_mb = changed.memory_mb / changed.dispatchers,
--- a/src/verdict/verdict.hpp
+++ b/src/verdict/verdict.hpp
@@ -14,8 +14,8 @@
 
 // Counts of one class in one slice, summed over all dispatchers of a cohort.
 struct Counts {
-  int asked = 0, refused = 0, failed = 0;
-  int late = 0;                  // served, but after the class's target time
+  int accepted = 0, refused = 0, failed = 0;
+  int served_late = 0;           // served, but after the class's target time
   std::array<int, 2> slow = {};  // slower than the usual p95 and p99 of the class before the change
   // How many of these events the same queries would have caused by their dispatchers' own baseline, with the
   // bounds within which that is known: a dispatcher that always refuses more is not made worse by its
@@ -39,11 +39,11 @@
 
 // What both cohorts did in the same interval in one zone. Zones are compared separately because the loss of a
 // zone affects only the dispatchers in it.
-struct Pair {
+struct CohortPair {
   // The dispatchers on the new version, and those that they are compared with.
-  CohortStats fresh, old;
+  CohortStats changed, reference;
 };
-using Slice = std::map<std::string, Pair>;  // by zone
+using Slice = std::map<std::string, CohortPair>;  // by zone
 
 struct Limits {
   double false_stop =
@@ -109,7 +109,7 @@
   };
   void add_events(const std::string& name, double share, const Events& changed, const Events& reference,
                   bool compares_shares);
-  void compare_counts(const Pair& pair);
+  void compare_counts(const CohortPair& pair);
   void compare_resources(const Slice& slice);
   double alpha_per_measure() const;
 
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -80,7 +80,7 @@
         char bytes[256];
         std::size_t received_bytes = 0;
         while (socket.receive(bytes, sizeof bytes, received_bytes, own_clock.now() + 10'000, own_clock) ==
-               net::Io::done)
+               net::IoResult::done)
           socket.send({{bytes, received_bytes}}, own_clock.now() + 1'000, own_clock);
       }};
 };
@@ -89,7 +89,7 @@
 struct RelayedLink {
   RelayedLink()
       : address(relays.add_route("n0", "w0", "127.0.0.1:" + std::to_string(echo_server.acceptor.port()))) {
-    socket = net::Socket::make(address);
+    socket = net::Socket::create(address);
     REQUIRE(socket.connect(address, 1'000));
   }
   // Sends the text and returns what is received within `ms`; "!" if the link closes.
@@ -100,8 +100,10 @@
   std::string receive(double ms) {
     char bytes[256];
     std::size_t received_bytes = 0;
-    const net::Io io = socket.receive(bytes, sizeof bytes, received_bytes, clock.now() + ms, clock);
-    return io == net::Io::done ? std::string(bytes, received_bytes) : io == net::Io::late ? "" : "!";
+    const net::IoResult io = socket.receive(bytes, sizeof bytes, received_bytes, clock.now() + ms, clock);
+    return io == net::IoResult::done        ? std::string(bytes, received_bytes)
+           : io == net::IoResult::timed_out ? ""
+                                            : "!";
   }
   core::Clock clock;
   EchoServer echo_server;
@@ -132,7 +134,7 @@
   CHECK(corrupted.size() == 5);  // the same byte is changed once in each direction, which may restore it
   link.relays.set_fault("n0", "w0", FaultKind::cut);
   CHECK(link.receive(2'000) == "!");
-  net::Socket new_socket = net::Socket::make(link.address);
+  net::Socket new_socket = net::Socket::create(link.address);
   new_socket.connect(link.address, 500);
   link.socket = std::move(new_socket);
   CHECK(link.receive(2'000) == "!");
@@ -143,11 +145,11 @@
   core::Clock clock;
   Relays relays;
   const net::Address address(relays.add_route("n0", "w0", "127.0.0.1:1"));
-  net::Socket socket = net::Socket::make(address);
+  net::Socket socket = net::Socket::create(address);
   REQUIRE(socket.connect(address, 1'000));
   char byte = 0;
   std::size_t received_bytes = 0;
-  CHECK(socket.receive(&byte, 1, received_bytes, clock.now() + 2'000, clock) == net::Io::broken);
+  CHECK(socket.receive(&byte, 1, received_bytes, clock.now() + 2'000, clock) == net::IoResult::failed);
 }
 
 // The checker -------------------------------------------------------------------------------------------
@@ -166,7 +168,7 @@
   static QueryRecord query(const std::string& id, bool once, int status, const std::string& body) {
     return {id, "n0", once, 100, 130, QueryRecord::Outcome::answered, status, body};
   }
-  static Entry entry(const std::string& key, const std::string& what, double at) {
+  static LedgerEntry entry(const std::string& key, const std::string& what, double at) {
     return {key, what, 0, key.front() == 'p', "done " + key, "127.0.0.1:7", 1'000'000 + at};
   }
   Findings check() const { return check_run(plan, records); }
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -6,50 +6,50 @@
 namespace {
 
 // Records what the loop does with its interfaces.
-struct RecordingEnvironment : Executor, HostSource, Kin {
+struct RecordingEnvironment : Executor, EndpointSource, SiblingProcess {
   void start(Execution execution) override { started.push_back(std::move(execution)); }
   void cancel(const ExecutionKey& key) override { cancelled.push_back(key); }
   void withdraw(const ExecutionKey& key) override { withdrawn.push_back(key); }
   void probe(const std::string&) override {}
-  void exclude(const std::string& worker, bool is_excluded) override { excluded[worker] = is_excluded; }
-  std::string list() const override { return "{}"; }
-  void hear_list(const std::string& text) override { sibling_lists.push_back(text); }
-  bool alone() const override { return is_alone; }
+  void set_excluded(const std::string& worker, bool is_excluded) override { excluded[worker] = is_excluded; }
+  std::string serialized_list() const override { return "{}"; }
+  void merge_sibling_list(const std::string& text) override { sibling_lists.push_back(text); }
+  bool has_no_sibling() const override { return is_alone; }
   std::vector<std::string> sibling_lists;
   bool is_alone = true;
-  void watch() override { watches += 1; }
-  void tell(const Word& message) override { sent.push_back(message); }
+  void start_watch() override { watches += 1; }
+  void send(const SiblingMessage& message) override { sent.push_back(message); }
   std::vector<Execution> started;
   std::vector<ExecutionKey> cancelled, withdrawn;
   std::map<std::string, bool> excluded;
-  std::vector<Word> sent;  // to the sibling process
+  std::vector<SiblingMessage> sent;  // to the sibling process
   int watches = 0;
 };
 
-struct RecordingCallback : Asker {
-  void answer(Answer answer) override { answers.push_back(std::move(answer)); }
+struct RecordingCallback : ReplyCallback {
+  void on_answer(Answer answer) override { answers.push_back(std::move(answer)); }
   std::vector<Answer> answers;
 };
 
 struct LoopFixture {
   explicit LoopFixture(int workers) {
-    Hosts hosts;
-    for (int i = 0; i < workers; ++i) hosts.push_back(host_json("w" + std::to_string(i), "127.0.0.1:1"));
+    EndpointEntries hosts;
+    for (int i = 0; i < workers; ++i) hosts.push_back(endpoint_json("w" + std::to_string(i), "127.0.0.1:1"));
     Config config = read_config(config_json(hosts, "127.0.0.1:1"));
-    clock.set(kNow);
+    clock.set(kStartTimeMs);
     loop.emplace(config.settings, config.class_names, config.seed, clock, inbox, environment, environment,
                  environment);
-    ListTold update{{ListKind::remembered, {}, to_micros(kNow)}};
-    for (const Host& host : config.known.hosts) update.update.entries.push_back(host.entry);
+    ListUpdateReceived update{{ListKind::remembered, {}, to_micros(kStartTimeMs)}};
+    for (const Endpoint& host : config.known_endpoints.endpoints) update.update.entries.push_back(host.entry);
     deliver(update);
   }
   void deliver(Message message) {
-    inbox.put(std::move(message));
+    inbox.push(std::move(message));
     loop->step();
   }
   std::shared_ptr<RecordingCallback> submit(Query query) {
     auto callback = std::make_shared<RecordingCallback>();
-    deliver(QueryArrived{std::move(query), callback});
+    deliver(QueryReceived{std::move(query), callback});
     return callback;
   }
   std::shared_ptr<RecordingCallback> submit_new(const std::string& id, const std::string& kind,
@@ -117,7 +117,7 @@
 TEST_CASE("after a client disconnects no answer is sent, and the outcome still reaches the module") {
   LoopFixture fixture(1);
   const auto callback = fixture.submit_new("q", "receipt-check");
-  fixture.deliver(ClientGone{"q", callback});
+  fixture.deliver(ClientDisconnected{"q", callback});
   CHECK(fixture.environment.withdrawn == std::vector<ExecutionKey>{{"q", 0}});
   fixture.end(0, Status::ok, "unheard");
   CHECK(callback->answers.empty());
@@ -149,7 +149,7 @@
   LoopFixture fixture(2);
   const auto owner = fixture.submit_new("p", "refund-payout");
   const auto other = fixture.submit_new("p", "refund-payout");
-  fixture.deliver(ClientGone{"p", other});
+  fixture.deliver(ClientDisconnected{"p", other});
   CHECK(owner->answers.empty());
   fixture.end(0, Status::ok, "paid");
   REQUIRE(owner->answers.size() == 1);
@@ -193,7 +193,7 @@
 TEST_CASE("the module requests a new watch after one has failed") {
   LoopFixture fixture(1);
   CHECK(fixture.environment.watches == 1);
-  fixture.deliver(ListTold{{ListKind::failed, {}}});
+  fixture.deliver(ListUpdateReceived{{ListKind::failed, {}}});
   CHECK(fixture.environment.watches == 1);
   fixture.advance(700);
   CHECK(fixture.environment.watches == 2);
@@ -202,7 +202,7 @@
 // Guards the metrics that operators read: counters since the start of the process, and gauges of the moment.
 TEST_CASE("telemetry has counters by class since the start, and the queries that are open now") {
   LoopFixture fixture(3);
-  fixture.deliver(ListTold{{ListKind::changes, {}}});  // the watch is open: the list remains valid
+  fixture.deliver(ListUpdateReceived{{ListKind::changes, {}}});  // the watch is open: the list remains valid
   fixture.submit_new("s", "receipt-check");
   fixture.submit_new("f", "refund-payout");
   const auto sent = [&](int i) {
@@ -215,14 +215,15 @@
   fixture.advance(10'000);
   const auto disconnected = fixture.submit_new("l", "receipt-check");
   fixture.submit_new("o", "receipt-check");
-  fixture.deliver(ClientGone{"l", disconnected});  // no longer outstanding, though its execution is pending
+  fixture.deliver(
+      ClientDisconnected{"l", disconnected});  // no longer outstanding, though its execution is pending
   for (int i = 0; i < 3; ++i) {
-    OperatorCall exclusion{OperatorCall::Kind::exclude, "w" + std::to_string(i), {}};
+    OperatorCommand exclusion{OperatorCommand::Kind::exclude, "w" + std::to_string(i), {}};
     fixture.deliver(std::move(exclusion));
   }
   fixture.submit_new("r", "refund-payout");
-  OperatorCall call{OperatorCall::Kind::telemetry, {}, {}};
-  auto answer = call.answer.get_future();
+  OperatorCommand call{OperatorCommand::Kind::telemetry, {}, {}};
+  auto answer = call.reply.get_future();
   fixture.deliver(std::move(call));
   CHECK(answer.get() ==
         "app.succeeded.receipt-check:1|c\napp.declined.receipt-check:0|c\napp.aborted.receipt-check:0|c\n"
@@ -236,49 +237,49 @@
 TEST_CASE(
     "an operator's command takes effect and is sent on, and a new sibling process gets the whole state") {
   LoopFixture fixture(2);
-  const auto call = [&](OperatorCall::Kind kind, const std::string& worker) {
-    OperatorCall command{kind, worker, {}};
-    auto answer = command.answer.get_future();
+  const auto call = [&](OperatorCommand::Kind kind, const std::string& worker) {
+    OperatorCommand command{kind, worker, {}};
+    auto answer = command.reply.get_future();
     fixture.deliver(std::move(command));
     return answer.get();
   };
-  CHECK(call(OperatorCall::Kind::exclude, "nobody").starts_with("error"));
-  CHECK(call(OperatorCall::Kind::include, "nobody").starts_with("error"));
+  CHECK(call(OperatorCommand::Kind::exclude, "nobody").starts_with("error"));
+  CHECK(call(OperatorCommand::Kind::include, "nobody").starts_with("error"));
   CHECK(fixture.environment.sent.empty());
-  CHECK(call(OperatorCall::Kind::exclude, "w0").starts_with("done"));
+  CHECK(call(OperatorCommand::Kind::exclude, "w0").starts_with("done"));
   CHECK(fixture.environment.excluded.at("w0"));
-  fixture.deliver(KinSaid{{Word::Kind::exclude, "w1"}});
+  fixture.deliver(SiblingMessageReceived{{SiblingMessage::Kind::exclude, "w1"}});
   CHECK(fixture.submit_new("q", "refund-payout")->answers.at(0).kind == AnswerKind::refused);
-  CHECK(call(OperatorCall::Kind::include, "w1").starts_with("done"));
+  CHECK(call(OperatorCommand::Kind::include, "w1").starts_with("done"));
   fixture.submit_new("r", "refund-payout");
   REQUIRE(fixture.environment.started.size() == 1);
   CHECK(fixture.environment.started[0].worker == "w1");
-  fixture.deliver(KinSaid{{Word::Kind::query, "s"}});
+  fixture.deliver(SiblingMessageReceived{{SiblingMessage::Kind::query, "s"}});
   CHECK(fixture.submit_new("s", "refund-payout")->answers.at(0).kind == AnswerKind::bad_query);
   fixture.environment.sent.clear();
-  fixture.deliver(KinJoined{});
+  fixture.deliver(SiblingJoined{});
   std::string sent;
-  for (const Word& message : fixture.environment.sent)
-    sent += std::to_string(static_cast<int>(message.kind)) + ' ' + message.id + ';';
+  for (const SiblingMessage& message : fixture.environment.sent)
+    sent += std::to_string(static_cast<int>(message.kind)) + ' ' + message.content + ';';
   CHECK(sent == "6 {};0 w0;2 r;2 s;3 ;");  // the list first: a drain in it binds this dispatcher
   // Changes of the list are sent too, where there is a sibling process; a list that it sends is passed on.
   fixture.environment.sent.clear();
-  fixture.deliver(ListTold{{woadtide::ListKind::changes, {}}});
+  fixture.deliver(ListUpdateReceived{{woadtide::ListKind::changes, {}}});
   CHECK(fixture.environment.sent.empty());
   fixture.environment.is_alone = false;
-  fixture.deliver(ListTold{{woadtide::ListKind::remembered, {}}});
+  fixture.deliver(ListUpdateReceived{{woadtide::ListKind::remembered, {}}});
   CHECK(fixture.environment.sent.empty());
-  fixture.deliver(ListTold{{woadtide::ListKind::changes, {}}});
+  fixture.deliver(ListUpdateReceived{{woadtide::ListKind::changes, {}}});
   REQUIRE(fixture.environment.sent.size() == 1);
-  CHECK(fixture.environment.sent[0].kind == Word::Kind::list);
-  fixture.deliver(KinSaid{{Word::Kind::list, "text"}});
+  CHECK(fixture.environment.sent[0].kind == SiblingMessage::Kind::list);
+  fixture.deliver(SiblingMessageReceived{{SiblingMessage::Kind::list, "text"}});
   CHECK(fixture.environment.sibling_lists == std::vector<std::string>{"text"});
 }
 
 TEST_CASE("open queries are answered when the process exits") {
   LoopFixture fixture(1);
   const auto callback = fixture.submit_new("q", "receipt-check");
-  fixture.deliver(FinishAll{});
+  fixture.deliver(FailOpenQueries{});
   REQUIRE(callback->answers.size() == 1);
   CHECK(callback->answers[0].kind == AnswerKind::failed);
 }
@@ -303,13 +304,15 @@
 }
 
 TEST_CASE("a worker's load report is used whole or not at all") {
-  const auto read = [](std::string_view text) { return read_load_report(text, "free slots", "free memory"); };
+  const auto read = [](std::string_view text) {
+    return parse_load_report(text, "free slots", "free memory");
+  };
   const auto good = read("x0=3.871,rps=0.990,avg_ms=393.594,waiting=2");
   REQUIRE(good);
   CHECK(good->free_slots == 3.871);
   CHECK(good->queue == 2);
   CHECK_FALSE(good->utilization);
-  CHECK_FALSE(read_load_report("x0=1", "share done", "")->free_slots);
+  CHECK_FALSE(parse_load_report("x0=1", "share done", "")->free_slots);
   for (const char* bad : {"x0", "x0=", "x0=1,,rps=2", "x0=nan", "x0=-1", "x0=1e300", "x0=2 ", "{\"x0\":1}"})
     CHECK_FALSE_MESSAGE(read(bad), bad);
 }
--- a/tests/discovery_return_test.cpp
+++ b/tests/discovery_return_test.cpp
@@ -97,7 +97,7 @@
     times.record(dispatcher, list);
   });
   ListSource& source = fleet.source();
-  const core::HostList remembered = source.snapshot();
+  const core::EndpointList remembered = source.snapshot();
   const auto wait_until = [&clock](double until_ms, const std::function<bool()>& condition) {
     while (clock.now() < until_ms && !condition()) ::poll(nullptr, 0, kPollIntervalMs);
   };
--- a/tests/endpoint_memory_test.cpp
+++ b/tests/endpoint_memory_test.cpp
@@ -50,7 +50,7 @@
   for (const int count : {3'200, 10'000}) {
     const std::string text = text_of(update_of(1, true, count));
     EndpointUpdate replacement = update_of(2, true, count);
-    for (Endpoint& endpoint : replacement.endpoints) endpoint.dial.back() = '1';
+    for (Endpoint& endpoint : replacement.endpoints) endpoint.address.back() = '1';
     const std::string replacement_text = text_of(replacement);
     const std::string indented = text_of(replacement, 4);
     replacement = {};
--- a/tests/endpoint_table_test.cpp
+++ b/tests/endpoint_table_test.cpp
@@ -51,7 +51,7 @@
         std::vector<std::string>{endpoint_numbered(100).name(), endpoint_numbered(101).name()});
   REQUIRE(delta.changed.size() == 1);
   CHECK(delta.changed[0].before == endpoint_numbered(2));
-  CHECK(delta.changed[0].now->entry.state == WorkerState::draining);
+  CHECK(delta.changed[0].after->entry.state == WorkerState::draining);
   CHECK(delta.removed == EndpointSequence{endpoint_numbered(0), endpoint_numbered(1)});
   CHECK(table.size() == 100);
 }
@@ -79,7 +79,7 @@
 
 TEST_CASE("a difference in any field is a change, including the address") {
   std::vector<Endpoint> modified_endpoints(7, endpoint_numbered(1));
-  modified_endpoints[0].dial = "10.9.9.9:8000";
+  modified_endpoints[0].address = "10.9.9.9:8000";
   modified_endpoints[1].entry.zone = "z";
   modified_endpoints[2].entry.kind = "m9";
   modified_endpoints[3].entry.cell = 99;
@@ -91,7 +91,7 @@
     const EndpointDelta delta = table.apply(delta_with(modified));
     REQUIRE(delta.changed.size() == 1);
     CHECK(delta.changed[0].before == endpoint_numbered(1));
-    CHECK(*delta.changed[0].now == modified);
+    CHECK(*delta.changed[0].after == modified);
     CHECK(*table.find(modified.name()) == modified);
     CHECK(table.apply(delta_with(modified, 3)).empty());
   }
@@ -124,7 +124,7 @@
     CAPTURE(count);
     EndpointTable table = table_of(count);
     Endpoint modified = endpoint_numbered(50);
-    modified.dial = "10.9.9.9:8000";
+    modified.address = "10.9.9.9:8000";
     EndpointUpdate change = delta_with(modified);
     std::uint64_t visited = table.entries_visited();
     const std::size_t allocations = testing::heap_usage().allocations;
@@ -156,7 +156,7 @@
         update.endpoints.back().entry.state = static_cast<WorkerState>(random(3));
         update.endpoints.back().entry.cell = random(2);
       }
-      if (update.whole) expected.clear();
+      if (update.is_snapshot) expected.clear();
       for (const Endpoint& endpoint : update.endpoints) {
         expected.erase(endpoint.name());
         if (endpoint.entry.state != WorkerState::gone) expected.emplace(endpoint.name(), endpoint);
@@ -167,9 +167,9 @@
       for (const Endpoint* endpoint : delta.added)
         RC_ASSERT(rebuilt_from_deltas.emplace(endpoint->name(), *endpoint).second);
       for (const EndpointChange& change : delta.changed) {
-        RC_ASSERT(rebuilt_from_deltas.at(change.now->name()) == change.before);
-        RC_ASSERT(!(change.before == *change.now));
-        rebuilt_from_deltas[change.now->name()] = *change.now;
+        RC_ASSERT(rebuilt_from_deltas.at(change.after->name()) == change.before);
+        RC_ASSERT(!(change.before == *change.after));
+        rebuilt_from_deltas[change.after->name()] = *change.after;
       }
       RC_ASSERT(rebuilt_from_deltas == expected);
       auto at = expected.begin();
--- a/tests/endpoints_harness.hpp
+++ b/tests/endpoints_harness.hpp
@@ -25,7 +25,8 @@
   endpoint.entry.zone = std::string(1, static_cast<char>('a' + number % 3));
   endpoint.entry.kind = "m2";
   endpoint.entry.cell = number % 8;
-  endpoint.dial = "10.1." + std::to_string(number / 200 % 100) + "." + std::to_string(number % 200) + ":8000";
+  endpoint.address =
+      "10.1." + std::to_string(number / 200 % 100) + "." + std::to_string(number % 200) + ":8000";
   return endpoint;
 }
 
@@ -41,9 +42,9 @@
   const char* health = entry.state == WorkerState::ready      ? "Ready"
                        : entry.state == WorkerState::draining ? "Terminating"
                                                               : "Gone";
-  nlohmann::ordered_json object = {{"host", entry.worker},  {"dial", endpoint.dial}, {"site", entry.zone},
-                                   {"class", entry.kind},   {"block", entry.cell},   {"health", health},
-                                   {"share", entry.weight}, {"born_ms", 0}};
+  nlohmann::ordered_json object = {
+      {"host", entry.worker}, {"dial", endpoint.address}, {"site", entry.zone},    {"class", entry.kind},
+      {"block", entry.cell},  {"health", health},         {"share", entry.weight}, {"born_ms", 0}};
   if (entry.started) object["born_ms"] = entry.started->count() / 1000;
   return object;
 }
@@ -51,7 +52,7 @@
 inline nlohmann::ordered_json json_of(const EndpointUpdate& update) {
   nlohmann::ordered_json entries = nlohmann::ordered_json::array();
   for (const Endpoint& endpoint : update.endpoints) entries.push_back(json_of(endpoint));
-  return {{"seq", update.sequence}, {"whole", update.whole}, {"hosts", std::move(entries)}};
+  return {{"seq", update.sequence}, {"whole", update.is_snapshot}, {"hosts", std::move(entries)}};
 }
 
 // Text of the update as service discovery sends it, including the line end.
@@ -60,7 +61,8 @@
 }
 
 inline bool operator==(const EndpointUpdate& left, const EndpointUpdate& right) {
-  return left.sequence == right.sequence && left.whole == right.whole && left.endpoints == right.endpoints;
+  return left.sequence == right.sequence && left.is_snapshot == right.is_snapshot &&
+         left.endpoints == right.endpoints;
 }
 
 // An event of the reader.
--- a/tests/endpoints_test.cpp
+++ b/tests/endpoints_test.cpp
@@ -432,8 +432,8 @@
     update_start = at + 1;
     const nlohmann::json object = nlohmann::json::parse(text, nullptr, false);
     if (object.is_discarded()) return false;
-    const core::HostList list = core::read_host_list(object);
-    const EndpointUpdate expected{list.seq, list.whole, {list.hosts.begin(), list.hosts.end()}};
+    const core::EndpointList list = core::parse_endpoint_list(object);
+    const EndpointUpdate expected{list.seq, list.complete, {list.endpoints.begin(), list.endpoints.end()}};
     if (!(recorder.events.back().update == expected)) return false;
   }
   for (std::size_t at = 0; at + 1 < recorder.events.size(); ++at)
--- a/tests/hollow_test.cpp
+++ b/tests/hollow_test.cpp
@@ -25,15 +25,15 @@
 constexpr double kEventTimeoutMs = 10'000;  // time limit for expected events; a test that reaches it fails
 constexpr auto kNoLines = [] { return std::size_t{0}; };
 
-core::HostList parse_list(const std::string& text) {
-  return core::read_host_list(nlohmann::json::parse(text));
+core::EndpointList parse_list(const std::string& text) {
+  return core::parse_endpoint_list(nlohmann::json::parse(text));
 }
 
 // The worker states that a reader of the list's lines has.
 using States = std::map<std::string, WorkerState>;
-void apply_list(States& states, const core::HostList& list) {
-  if (list.whole) states.clear();
-  for (const core::Host& host : list.hosts) {
+void apply_list(States& states, const core::EndpointList& list) {
+  if (list.complete) states.clear();
+  for (const core::Endpoint& host : list.endpoints) {
     if (host.entry.state == WorkerState::gone)
       states.erase(host.entry.worker);
     else
@@ -41,7 +41,7 @@
   }
 }
 
-States states_of(const core::HostList& list) {
+States states_of(const core::EndpointList& list) {
   States states;
   apply_list(states, list);
   return states;
@@ -73,12 +73,12 @@
     }
     for (std::int64_t since = 0; since <= list.version(); ++since) {
       const ListLine line = list.line_since(since);
-      const core::HostList update = parse_list(line.text);
+      const core::EndpointList update = parse_list(line.text);
       CAPTURE(since);
       CHECK(line.complete == (since < list.version() - 20));
-      CHECK(update.whole == line.complete);
+      CHECK(update.complete == line.complete);
       CHECK(update.seq == list.version());
-      CHECK(update.hosts.size() == line.entries);
+      CHECK(update.endpoints.size() == line.entries);
       CHECK(list.entries_since(since) == line.entries);
       States states = known[static_cast<std::size_t>(since)];
       apply_list(states, update);
@@ -196,31 +196,31 @@
  public:
   Watch(ListSource& source, std::size_t client, std::int64_t since) {
     const net::Address address(source.address(client));
-    socket_ = net::Socket::make(address);
+    socket_ = net::Socket::create(address);
     REQUIRE(socket_.connect(address, kEventTimeoutMs));
     const std::string request =
         "GET /registry/instances?follow=1&since=" + std::to_string(since) + " HTTP/1.1\r\nHost: x\r\n\r\n";
-    REQUIRE(socket_.send({request}, clock_.now() + kEventTimeoutMs, clock_) == net::Io::done);
+    REQUIRE(socket_.send({request}, clock_.now() + kEventTimeoutMs, clock_) == net::IoResult::done);
   }
   // Reads the response head and returns the status.
   int status() {
-    net::Io io = net::Io::done;
-    const auto length = input_.head(clock_.now() + kEventTimeoutMs, io);
+    net::IoResult io = net::IoResult::done;
+    const auto length = input_.read_head(clock_.now() + kEventTimeoutMs, io);
     REQUIRE(length);
-    const net::Head head = net::read_answer_head(input_.view().substr(0, *length));
+    const net::MessageHead head = net::parse_response_head(input_.view().substr(0, *length));
     bytes_ += *length;
-    const net::Framing framing = net::framing_of_answer(head);
-    input_.use(*length);
+    const net::Framing framing = net::response_framing(head);
+    input_.consume(*length);
     lines_.emplace(input_, framing);
     return head.status;
   }
   // The next line that contains a list; nullopt if the watch ended.
-  std::optional<core::HostList> next() {
+  std::optional<core::EndpointList> next() {
     std::string line;
     for (;;) {
       const auto result = lines_->next(line, clock_.now() + kEventTimeoutMs);
-      REQUIRE(result != net::LineReader::Got::late);
-      if (result != net::LineReader::Got::line) return std::nullopt;
+      REQUIRE(result != net::LineReader::Result::timed_out);
+      if (result != net::LineReader::Result::line) return std::nullopt;
       bytes_ += chunk_size(line);
       if (line.empty()) {
         empty_lines_ += 1;
@@ -231,7 +231,7 @@
   }
   bool read_empty_line() {
     std::string line;
-    if (lines_->next(line, clock_.now() + kEventTimeoutMs) != net::LineReader::Got::line) return false;
+    if (lines_->next(line, clock_.now() + kEventTimeoutMs) != net::LineReader::Result::line) return false;
     bytes_ += chunk_size(line);
     return line.empty();
   }
@@ -248,7 +248,7 @@
   core::Clock clock_;
   net::BufferPool pool_{1};
   net::Socket socket_;
-  net::Intake input_{socket_, clock_, pool_};
+  net::BufferedInput input_{socket_, clock_, pool_};
   std::optional<net::LineReader> lines_;
   std::uint64_t bytes_ = 0;
   int empty_lines_ = 0;
@@ -278,7 +278,7 @@
       const auto list = watch.next();
       REQUIRE(list);
       CHECK(list->seq >= seq);
-      CHECK_FALSE(list->whole);
+      CHECK_FALSE(list->complete);
       seq = list->seq;
       apply_list(states, *list);
     }
@@ -289,7 +289,7 @@
   CHECK(outdated.status() == 200);
   const auto list = outdated.next();
   REQUIRE(list);
-  CHECK(list->whole);
+  CHECK(list->complete);
   CHECK(becomes_true([&] { return source.lateness().undelivered == 0; }));
   CHECK(source.lateness().delivered == 44 + 60);
   // Delivered at once, not with the next empty line.
@@ -303,12 +303,12 @@
   for (std::size_t i = 0; i < 30; ++i) source.set(HollowFleet::worker_endpoint(i, WorkerState::ready));
   Watch first_watch(source, first, 0), second_watch(source, second, 30);
   CHECK(first_watch.status() == 200);
-  CHECK(first_watch.next()->hosts.size() == 30);
+  CHECK(first_watch.next()->endpoints.size() == 30);
   CHECK(second_watch.status() == 200);
-  CHECK(second_watch.next()->hosts.empty());
+  CHECK(second_watch.next()->endpoints.empty());
   source.set(HollowFleet::worker_endpoint(1, WorkerState::draining));
-  CHECK(first_watch.next()->hosts.size() == 1);
-  CHECK(second_watch.next()->hosts.size() == 1);
+  CHECK(first_watch.next()->endpoints.size() == 1);
+  CHECK(second_watch.next()->endpoints.size() == 1);
   CHECK(first_watch.read_empty_line());
   CHECK(second_watch.read_empty_line());
   const ListSourceCounts counts = source.counts();
@@ -345,7 +345,7 @@
   CHECK(becomes_true([&] { return source.is_up(); }));
   Watch after(source, client, 1);
   CHECK(after.status() == 200);
-  CHECK(after.next()->hosts.at(0).entry.state == WorkerState::draining);
+  CHECK(after.next()->endpoints.at(0).entry.state == WorkerState::draining);
   const ListSourceCounts counts = source.counts();
   CHECK(counts.calls == 3);
   CHECK(counts.answered == 2);
@@ -420,7 +420,7 @@
   core::Clock clock;
   HollowFleet fleet(settings, clock);
   CHECK(fleet.runtime_count() == 2);
-  const core::HostList old_list = fleet.source().snapshot();
+  const core::EndpointList old_list = fleet.source().snapshot();
   const auto all_have = [&](const std::string& worker, WorkerState state) {
     return becomes_true([&] {
       for (std::size_t i = 0; i < fleet.size(); ++i) {
--- a/tests/jobs_test.cpp
+++ b/tests/jobs_test.cpp
@@ -24,8 +24,8 @@
 namespace woadtide {
 namespace {
 
-using lab::Begun;
-using lab::Plan;
+using lab::ExecutionPlan;
+using lab::ExecutionRequest;
 
 bool contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
@@ -37,10 +37,10 @@
     REQUIRE(::mkdtemp(name.data()));
     path = name;
     lab::install_fault_vfs();
-    lab::set_fault(lab::Fault::none, 0);
+    lab::set_fault(lab::StoreFault::none, 0);
   }
   ~TempFolder() {
-    lab::set_fault(lab::Fault::none, 0);
+    lab::set_fault(lab::StoreFault::none, 0);
     std::filesystem::remove_all(path);
   }
   std::string path;
@@ -49,31 +49,34 @@
 // A worker, a discovery service and a folder for the store.
 struct TestCluster {
   TempFolder folder;
-  lab::Discovery discovery;
-  std::unique_ptr<lab::Worker> worker;
-  config::JobsPart jobs_config;
+  lab::TestDiscovery discovery;
+  std::unique_ptr<lab::TestWorker> worker;
+  config::JobsSettings jobs_config;
   core::Clock clock;
 
   explicit TestCluster(
-      lab::Worker::Planner planner = [](const Begun&) { return Plan{}; }, bool answers_inquiries = false) {
-    worker = std::make_unique<lab::Worker>(0, folder.path + "/ledger", answers_inquiries, std::move(planner));
-    discovery.set("w", worker->dial());
+      lab::TestWorker::Planner planner = [](const ExecutionRequest&) { return ExecutionPlan{}; },
+      bool answers_inquiries = false) {
+    worker =
+        std::make_unique<lab::TestWorker>(0, folder.path + "/ledger", answers_inquiries, std::move(planner));
+    discovery.set_worker("w", worker->address());
     jobs_config.enabled = true;
     jobs_config.listen = jobs_config.operators = "127.0.0.1:0";
     jobs_config.folder = folder.path + "/store";
     jobs_config.lease_ms = 400;
     jobs_config.ask_every_ms = 20;
-    if (answers_inquiries) jobs_config.answering = {"lab"};
+    if (answers_inquiries) jobs_config.answering_kinds = {"lab"};
   }
 };
 
 // A dispatcher in a test cluster. Its destructor closes the store in the regular way.
 struct Dispatcher {
   explicit Dispatcher(TestCluster& cluster, bool wait_until_serving = true) {
-    config = core::read_config(config_json({}, cluster.discovery.dial()));
-    config.known = core::read_host_list(nlohmann::json::parse(cluster.discovery.list()));
-    node.emplace(config, cluster.clock, [&](const Parts& parts) {
-      auto created = std::make_unique<jobs::Installation>(cluster.jobs_config, parts);
+    config = core::read_config(config_json({}, cluster.discovery.address()));
+    config.known_endpoints =
+        core::parse_endpoint_list(nlohmann::json::parse(cluster.discovery.serialized_list()));
+    node.emplace(config, cluster.clock, [&](const ExtensionContext& parts) {
+      auto created = std::make_unique<jobs::JobsExtension>(cluster.jobs_config, parts);
       jobs_extension = created.get();
       return created;
     });
@@ -87,7 +90,7 @@
   std::string send_request(const std::string& text) {
     Peer peer = Peer::to(jobs_extension->port());
     peer.write(text);
-    return peer.message();
+    return peer.read_message();
   }
   static std::string put_request(const std::string& key, const std::string& class_name,
                                  const std::string& body, int budget_ms) {
@@ -104,25 +107,25 @@
   }
   std::string call_operator(const std::string& method, const std::string& path,
                             const std::string& body = "") {
-    Peer peer = Peer::to(jobs_extension->operators_port());
+    Peer peer = Peer::to(jobs_extension->operator_port());
     peer.write(method + ' ' + path + " HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) +
                "\r\n\r\n" + body);
-    return peer.message();
+    return peer.read_message();
   }
   core::Config config;
-  jobs::Installation* jobs_extension = nullptr;
+  jobs::JobsExtension* jobs_extension = nullptr;
   std::optional<Node> node;
 };
 
 TEST_CASE("a job is accepted, runs under its lease, and its result can be requested by key repeatedly") {
   std::string seen_key, seen_body, seen_lease;
   std::uint64_t seen_epoch = 0;
-  TestCluster cluster([&](const Begun& begun) {
+  TestCluster cluster([&](const ExecutionRequest& begun) {
     seen_key = begun.key;
     seen_epoch = begun.epoch;
     seen_body = begun.body;
     seen_lease = begun.lease;
-    return Plan{20};
+    return ExecutionPlan{20};
   });
   Dispatcher dispatcher(cluster);
   CHECK(contains(dispatcher.put("k1"), "HTTP/1.1 202 "));
@@ -138,7 +141,7 @@
   CHECK(seen_epoch == 1);
   CHECK(seen_body == "pay");
   CHECK(seen_lease == "400m");
-  CHECK(cluster.worker->executions() == 1);
+  CHECK(cluster.worker->execution_count() == 1);
 }
 
 TEST_CASE("invalid requests are rejected, and the link stays open for the next request") {
@@ -157,7 +160,7 @@
   Peer peer = Peer::to(dispatcher.jobs_extension->port());
   for (int i = 0; i < 3; ++i) {
     peer.write("GET /jobs/none HTTP/1.1\r\n\r\n");
-    CHECK(contains(peer.message(), " 404 "));
+    CHECK(contains(peer.read_message(), " 404 "));
   }
 }
 
@@ -165,7 +168,9 @@
     "overload refuses new jobs at once without a record; accepted jobs are submitted again or can be "
     "withdrawn") {
   std::atomic<bool> full = true;
-  TestCluster cluster([&](const Begun&) { return Plan{5, 0, full ? Plan::End::refuse : Plan::End::done}; });
+  TestCluster cluster([&](const ExecutionRequest&) {
+    return ExecutionPlan{5, 0, full ? ExecutionPlan::Outcome::refuse : ExecutionPlan::Outcome::done};
+  });
   Dispatcher dispatcher(cluster);
   // The worker refuses the job only after it has its lease.
   CHECK(contains(dispatcher.put("k"), " 202 "));
@@ -177,24 +182,24 @@
   CHECK(contains(dispatcher.get("k"), " 200 "));
   CHECK(contains(dispatcher.put("gone"), " 202 "));
   CHECK(contains(dispatcher.get("gone"), " 200 "));
-  cluster.discovery.set("w", cluster.worker->dial(), "Terminating");
+  cluster.discovery.set_worker("w", cluster.worker->address(), "Terminating");
   for (int i = 0; i < 200 && !contains(dispatcher.put("x" + std::to_string(i)), " 503 "); ++i)
     ::usleep(10'000);
   const double asked_ms = cluster.clock.now();
   CHECK(contains(dispatcher.put("drained"), " 503 "));
   CHECK(cluster.clock.now() - asked_ms < 500);
   CHECK(contains(dispatcher.get("drained", 0), " 404 "));
-  CHECK(cluster.worker->executions() >= 2);
+  CHECK(cluster.worker->execution_count() >= 2);
 }
 
 TEST_CASE("a job that ends while no dispatcher runs is recovered according to its class") {
-  TestCluster cluster([](const Begun&) { return Plan{300}; });
+  TestCluster cluster([](const ExecutionRequest&) { return ExecutionPlan{300}; });
   {
     Dispatcher dispatcher(cluster);
     CHECK(contains(dispatcher.put("once"), " 202 "));
     CHECK(contains(dispatcher.put("safe", "receipt-check"), " 202 "));
     // A job is accepted before it is sent: on a busy machine this process could end in between.
-    while (cluster.worker->executions() < 2) ::usleep(1'000);
+    while (cluster.worker->execution_count() < 2) ::usleep(1'000);
   }
   Dispatcher next(cluster);
   const std::string payout_reply = next.get("once");
@@ -203,7 +208,7 @@
   const std::string safe_reply = next.get("safe");
   CHECK(contains(safe_reply, " 200 "));
   CHECK(safe_reply.ends_with("done safe"));
-  CHECK(cluster.worker->executions() == 3);  // the payout once, the idempotent job twice
+  CHECK(cluster.worker->execution_count() == 3);  // the payout once, the idempotent job twice
   SUBCASE("an operator settles the job in doubt, and the decision is final") {
     CHECK(contains(next.call_operator("GET", "/jobs"), "\"once\""));
     CHECK(contains(next.call_operator("POST", "/jobs/safe/settle?as=failed&who=ann", "no"), " 409 "));
@@ -217,28 +222,32 @@
 }
 
 TEST_CASE("after a crash a worker that answers inquiries is asked, and its answer decides") {
-  TestCluster cluster([](const Begun&) { return Plan{200}; }, true);
+  TestCluster cluster([](const ExecutionRequest&) { return ExecutionPlan{200}; }, true);
   {
     Dispatcher dispatcher(cluster);
     CHECK(contains(dispatcher.put("k", "refund-payout", "pay", 5'000), " 202 "));
-    await([&] { return cluster.worker->executions() == 1; });  // the 202 is sent before the job
+    wait_until([&] { return cluster.worker->execution_count() == 1; });  // the 202 is sent before the job
   }
   Dispatcher next(cluster);
   const std::string reply = next.get("k");
   CHECK(contains(reply, " 200 "));
   CHECK(reply.ends_with("done k"));
-  CHECK(cluster.worker->executions() == 1);
+  CHECK(cluster.worker->execution_count() == 1);
 }
 
 TEST_CASE(
     "heartbeats extend a lease; a stall beyond it puts a payout in doubt, for good if the worker answers no "
     "inquiries") {
   const auto final_reply = [](double run_ms, double heartbeat_ms, bool answers) {
-    TestCluster cluster([=](const Begun&) { return Plan{run_ms, heartbeat_ms}; }, answers);
+    TestCluster cluster(
+        [=](const ExecutionRequest&) {
+          return ExecutionPlan{run_ms, heartbeat_ms};
+        },
+        answers);
     Dispatcher dispatcher(cluster);
     CHECK(contains(dispatcher.put("k"), " 202 "));
     const std::string reply = dispatcher.get("k");
-    CHECK(cluster.worker->executions() == 1);
+    CHECK(cluster.worker->execution_count() == 1);
     return reply;
   };
   CHECK(contains(final_reply(900, 100, false), " 200 "));   // longer than two leases, with heartbeats
@@ -250,8 +259,8 @@
 
 TEST_CASE("when a worker closes the connection, an idempotent job is run again and a payout is in doubt") {
   int count = 0;
-  TestCluster cluster([&](const Begun&) {
-    return Plan{10, 0, ++count == 1 ? Plan::End::cut : Plan::End::done};
+  TestCluster cluster([&](const ExecutionRequest&) {
+    return ExecutionPlan{10, 0, ++count == 1 ? ExecutionPlan::Outcome::cut : ExecutionPlan::Outcome::done};
   });
   Dispatcher dispatcher(cluster);
   SUBCASE("safe") {
@@ -261,12 +270,12 @@
   SUBCASE("payout") {
     dispatcher.put("k");
     CHECK(contains(dispatcher.get("k"), "in-doubt"));
-    CHECK(cluster.worker->executions() == 1);
+    CHECK(cluster.worker->execution_count() == 1);
   }
 }
 
 TEST_CASE("a started job cannot be withdrawn; its client may disconnect and return") {
-  TestCluster cluster([](const Begun&) { return Plan{200}; });
+  TestCluster cluster([](const ExecutionRequest&) { return ExecutionPlan{200}; });
   Dispatcher dispatcher(cluster);
   {
     Peer peer = Peer::to(dispatcher.jobs_extension->port());
@@ -280,7 +289,7 @@
 }
 
 TEST_CASE("an evacuated dispatcher refuses new jobs at once, and still reports accepted ones") {
-  TestCluster cluster([](const Begun&) { return Plan{200}; });
+  TestCluster cluster([](const ExecutionRequest&) { return ExecutionPlan{200}; });
   Dispatcher dispatcher(cluster);
   CHECK(contains(dispatcher.put("k"), " 202 "));
   const auto run_command = [&](const std::string& line) {
@@ -288,7 +297,7 @@
     link.write(line);
     while (link.read_some()) {
     }
-    return link.come;
+    return link.received;
   };
   CHECK(run_command("evacuate\n") == "done\n");
   CHECK(contains(dispatcher.send_request("GET /health/ready HTTP/1.1\r\n\r\n"), " 503 "));
@@ -300,20 +309,20 @@
 }
 
 TEST_CASE("when a worker drains, a leased job ends there, and no new job is sent to it") {
-  TestCluster cluster([](const Begun&) { return Plan{400, 50}; });
+  TestCluster cluster([](const ExecutionRequest&) { return ExecutionPlan{400, 50}; });
   // Long enough not to expire on a busy machine: the lease is not tested here.
   cluster.jobs_config.lease_ms = 3'000;
   Dispatcher dispatcher(cluster);
   CHECK(contains(dispatcher.put("k"), " 202 "));
-  cluster.discovery.set("w", cluster.worker->dial(), "Terminating");
+  cluster.discovery.set_worker("w", cluster.worker->address(), "Terminating");
   ::usleep(300'000);
   CHECK(contains(dispatcher.put("late"), " 503 "));
   CHECK(contains(dispatcher.get("k"), " 200 "));
-  CHECK(cluster.worker->executions() == 1);
+  CHECK(cluster.worker->execution_count() == 1);
 }
 
 TEST_CASE("the final state of a payout is reported before its client gives up, whatever the worker does") {
-  TestCluster cluster([](const Begun&) { return Plan{2'000, 50}; });
+  TestCluster cluster([](const ExecutionRequest&) { return ExecutionPlan{2'000, 50}; });
   Dispatcher dispatcher(cluster);
   const double started_ms = cluster.clock.now();
   dispatcher.put("k", "refund-payout", "pay", 600);
@@ -323,7 +332,7 @@
 }
 
 TEST_CASE("a second process waits for the store, and has all jobs once the first releases it") {
-  TestCluster cluster([](const Begun&) { return Plan{5}; });
+  TestCluster cluster([](const ExecutionRequest&) { return ExecutionPlan{5}; });
   std::optional<Dispatcher> first;
   first.emplace(cluster);
   CHECK(contains(first->put("k"), " 202 "));
@@ -334,14 +343,16 @@
   // Meanwhile plain HTTP is served.
   Peer plain = Peer::to(second.node->port());
   plain.write(query_text("q1", "receipt-check"));
-  CHECK(contains(plain.message(), " 200 "));
+  CHECK(contains(plain.read_message(), " 200 "));
   first.reset();
   second.wait_until_served();
   CHECK(second.get("k").ends_with("done k"));
 }
 
 TEST_CASE("a full store refuses new jobs with a reason, and earlier jobs go on") {
-  TestCluster cluster([](const Begun&) { return Plan{5, 0, Plan::End::done, std::string(60'000, 'r')}; });
+  TestCluster cluster([](const ExecutionRequest&) {
+    return ExecutionPlan{5, 0, ExecutionPlan::Outcome::done, std::string(60'000, 'r')};
+  });
   cluster.jobs_config.most_mb = 1;
   // With a short lease, a worker delayed by a busy machine would put a payout in doubt.
   cluster.jobs_config.lease_ms = 3'000;
@@ -362,10 +373,10 @@
 
 TEST_CASE(
     "after a store failure at any write no job runs twice, plain HTTP goes on, and jobs are served again") {
-  for (const auto fault : {lab::Fault::fail, lab::Fault::full}) {
+  for (const auto fault : {lab::StoreFault::fail, lab::StoreFault::full}) {
     for (int nth = 1; nth < 12; ++nth) {
       CAPTURE(nth);
-      TestCluster cluster([](const Begun&) { return Plan{30}; }, true);
+      TestCluster cluster([](const ExecutionRequest&) { return ExecutionPlan{30}; }, true);
       Dispatcher dispatcher(cluster);
       dispatcher.put("warm");
       dispatcher.get("warm");  // makes the worker's ledger known
@@ -380,12 +391,12 @@
         if (contains(reply, " 200 ") || contains(reply, " 502 ")) break;
         ::usleep(50'000);
       }
-      lab::set_fault(lab::Fault::none, 0);
+      lab::set_fault(lab::StoreFault::none, 0);
       CHECK(contains(reply, " 200 "));
-      CHECK(cluster.worker->executions() == 2);
+      CHECK(cluster.worker->execution_count() == 2);
       Peer plain = Peer::to(dispatcher.node->port());
       plain.write(query_text("q1", "receipt-check"));
-      CHECK(contains(plain.message(), " 200 "));
+      CHECK(contains(plain.read_message(), " 200 "));
     }
   }
 }
@@ -393,31 +404,31 @@
 TEST_CASE("the result of a worker that answers no inquiries survives a store failure on its arrival") {
   for (int nth = 1; nth < 6; ++nth) {
     CAPTURE(nth);
-    TestCluster cluster([](const Begun&) { return Plan{150}; });
+    TestCluster cluster([](const ExecutionRequest&) { return ExecutionPlan{150}; });
     Dispatcher dispatcher(cluster);
     CHECK(contains(dispatcher.put("k"), " 202 "));
     ::usleep(50'000);
-    lab::set_fault(lab::Fault::fail, nth);
+    lab::set_fault(lab::StoreFault::fail, nth);
     std::string reply;
     for (int i = 0; i < 100 && !contains(reply, " 200 ") && !contains(reply, " 502 "); ++i) {
       reply = dispatcher.get("k", 1'000);
       ::usleep(20'000);
     }
     CHECK(contains(reply, " 200 "));
-    CHECK(cluster.worker->executions() == 1);
+    CHECK(cluster.worker->execution_count() == 1);
   }
 }
 
 // If the newest timestamp in the store were not taken as the current time, a clock set back by a day would
 // give a job a whole day to be run again.
 TEST_CASE("a job has no more time than it had when the clock is set back or forward between two starts") {
-  TestCluster cluster([](const Begun&) { return Plan{200}; });
-  cluster.clock.set(kNow);
+  TestCluster cluster([](const ExecutionRequest&) { return ExecutionPlan{200}; });
+  cluster.clock.set(kStartTimeMs);
   {
     Dispatcher dispatcher(cluster);
     CHECK(contains(dispatcher.put("safe", "receipt-check"), " 202 "));
   }
-  cluster.discovery.set("w", cluster.worker->dial(), "Terminating");
+  cluster.discovery.set_worker("w", cluster.worker->address(), "Terminating");
   const auto final_reply = [](Dispatcher& dispatcher) {
     std::string reply;
     for (int i = 0; i < 100 && !contains(reply, " 503 "); ++i) {
@@ -427,18 +438,18 @@
     return reply;
   };
   SUBCASE("back") {
-    cluster.clock.set(kNow - 86'400'000);
+    cluster.clock.set(kStartTimeMs - 86'400'000);
     Dispatcher dispatcher(cluster);
     CHECK(contains(dispatcher.get("safe", 0), "X-Job-State: taken\r\n"));
-    cluster.clock.set(kNow - 86'400'000 + 3'100);
+    cluster.clock.set(kStartTimeMs - 86'400'000 + 3'100);
     CHECK(contains(final_reply(dispatcher), "X-Job-State: refused\r\n"));
   }
   SUBCASE("forward") {
-    cluster.clock.set(kNow + 3'600'000);
+    cluster.clock.set(kStartTimeMs + 3'600'000);
     Dispatcher dispatcher(cluster);
     CHECK(contains(final_reply(dispatcher), "X-Job-State: refused\r\n"));
   }
-  CHECK(cluster.worker->executions() == 1);
+  CHECK(cluster.worker->execution_count() == 1);
 }
 
 TEST_CASE("a file that is not a store is left unchanged; jobs are not served, plain HTTP is") {
@@ -450,7 +461,7 @@
   await_ready(*dispatcher.node);
   Peer plain = Peer::to(dispatcher.node->port());
   plain.write(query_text("q1", "receipt-check"));
-  CHECK(contains(plain.message(), " 200 "));
+  CHECK(contains(plain.read_message(), " 200 "));
   ::usleep(400'000);
   CHECK(dispatcher.jobs_extension->port() == 0);
   std::ifstream file(path);
@@ -472,21 +483,23 @@
 
 TEST_CASE(
     "the commands list, show and settle jobs of a running process, and check the store of a stopped one") {
-  TestCluster cluster([](const Begun&) { return Plan{10, 0, Plan::End::cut}; });
+  TestCluster cluster([](const ExecutionRequest&) {
+    return ExecutionPlan{10, 0, ExecutionPlan::Outcome::cut};
+  });
   std::optional<Dispatcher> dispatcher;
   dispatcher.emplace(cluster);
   CHECK(contains(dispatcher->put("k"), " 202 "));
   CHECK(contains(dispatcher->get("k"), "in-doubt"));
-  config::JobsPart jobs_config = cluster.jobs_config;
-  jobs_config.operators = "127.0.0.1:" + std::to_string(dispatcher->jobs_extension->operators_port());
-  const auto run = [&](const cli::Words& words) {
+  config::JobsSettings jobs_config = cluster.jobs_config;
+  jobs_config.operators = "127.0.0.1:" + std::to_string(dispatcher->jobs_extension->operator_port());
+  const auto run = [&](const cli::JobArguments& words) {
     int code = -1;
     const std::string output =
         capture_stream(1, cluster.folder.path, [&] { code = cli::jobs_command(words, jobs_config); });
     return std::to_string(code) + ' ' + output;
   };
-  const cli::Words list{{"list"}, "in-doubt", {}, {}, {}};
-  const cli::Words settle{{"settle", "k"}, {}, "failed", "ann", "not in the books"};
+  const cli::JobArguments list{{"list"}, "in-doubt", {}, {}, {}};
+  const cli::JobArguments settle{{"settle", "k"}, {}, "failed", "ann", "not in the books"};
   CHECK(run(list).starts_with("0 in-doubt\tk\trefund-payout\tepoch 1"));
   CHECK(run(settle) == "0 settled\n");
   CHECK(run(settle).starts_with("1 "));
@@ -507,7 +520,7 @@
 TEST_CASE("the log is written as JSON lines or text, and logging does not block when nobody reads it") {
   TempFolder folder;
   const std::string json = capture_stream(2, folder.path, [] {
-    log::Structured log(true, 64);
+    log::AsyncLog log(true, 64);
     core::log_line("jobs: \"k\" is in doubt: a reason");
   });
   const auto line = nlohmann::json::parse(json);
@@ -515,7 +528,7 @@
   CHECK(line.at("text") == "\"k\" is in doubt: a reason");
   CHECK(line.at("time").get<std::string>().ends_with("Z"));
   const std::string text = capture_stream(2, folder.path, [] {
-    log::Structured log(false, 64);
+    log::AsyncLog log(false, 64);
     core::log_line("jobs: served");
   });
   CHECK(text.ends_with("Z jobs: served\n"));
@@ -524,7 +537,7 @@
   const net::Fd reader(pipe_fds[0]), saved_stream(::dup(2));
   net::Fd writer(pipe_fds[1]);
   ::dup2(writer.get(), 2);
-  std::optional<log::Structured> log;
+  std::optional<log::AsyncLog> log;
   log.emplace(true, 64);
   const core::Clock clock;
   const double started_ms = clock.now();
@@ -545,21 +558,22 @@
 }
 
 TEST_CASE("the history checker finds each planted fault") {
-  using lab::Entry;
-  using lab::Seen;
-  const std::vector<Seen> good = {{"k", "asked", true, 0, "", ""}, {"k", "told", true, 200, "finished", "r"}};
-  const std::vector<Entry> ledger = {{"k", "begun", 1, true, ""}, {"k", "finished", 1, true, "r"}};
-  CHECK(lab::judge(good, ledger).good());
-  std::vector<Entry> twice = ledger;
+  using lab::ClientObservation;
+  using lab::LedgerEntry;
+  const std::vector<ClientObservation> good = {{"k", "asked", true, 0, "", ""},
+                                               {"k", "told", true, 200, "finished", "r"}};
+  const std::vector<LedgerEntry> ledger = {{"k", "begun", 1, true, ""}, {"k", "finished", 1, true, "r"}};
+  CHECK(lab::check_history(good, ledger).good());
+  std::vector<LedgerEntry> twice = ledger;
   twice.push_back({"k", "begun", 2, true, ""});
-  CHECK(lab::judge(good, twice).twice == 1);
-  std::vector<Seen> seen = good;
+  CHECK(lab::check_history(good, twice).duplicate_payouts == 1);
+  std::vector<ClientObservation> seen = good;
   seen.push_back({"k", "told", true, 502, "in-doubt", ""});
-  CHECK(lab::judge(seen, ledger).changed == 1);
-  CHECK(lab::judge(good, {}).contradictions == 1);
-  CHECK(lab::judge({good[0], {"k", "told", true, 503, "refused", ""}}, ledger).contradictions == 1);
-  CHECK(lab::judge({good[0], {"k", "told", true, 502, "failed", ""}}, ledger).contradictions == 1);
-  CHECK(lab::judge({good[0], {"k", "gave-up", true, 0, "", ""}}, ledger).unanswered == 1);
+  CHECK(lab::check_history(seen, ledger).changed_answers == 1);
+  CHECK(lab::check_history(good, {}).contradictions == 1);
+  CHECK(lab::check_history({good[0], {"k", "told", true, 503, "refused", ""}}, ledger).contradictions == 1);
+  CHECK(lab::check_history({good[0], {"k", "told", true, 502, "failed", ""}}, ledger).contradictions == 1);
+  CHECK(lab::check_history({good[0], {"k", "gave-up", true, 0, "", ""}}, ledger).unanswered == 1);
 }
 
 TEST_CASE("an invalid key of the operator's file is reported with file, line and the expected value") {
--- a/tests/large_list_test.cpp
+++ b/tests/large_list_test.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 nlohmann::json whole_list(int workers, int seq) {
-  Hosts hosts;
+  EndpointEntries hosts;
   for (int i = 0; i < workers; ++i) {
-    nlohmann::json host = host_json("s-" + std::to_string(10'000'000 + i), "127.0.0.1:8000");
+    nlohmann::json host = endpoint_json("s-" + std::to_string(10'000'000 + i), "127.0.0.1:8000");
     host["class"] = "m2";
     host["block"] = 3;
     host["share"] = 1.0;
@@ -34,14 +34,16 @@
 
 struct Client {
   explicit Client(const endpoints::EndpointLimits& limits)
-      : hosts(discovery.dial(), core::HostList{}, clock, inbox, pool, park, crew, HostGroup::Way::asked,
-              HostGroup::kSilenceMs, {}, limits) {
+      : hosts(discovery.dial(), core::EndpointList{}, clock, inbox, pool, park, crew,
+              EndpointListClient::DiscoveryMode::on_request, EndpointListClient::kSilenceTimeoutMs, {},
+              limits) {
     next();  // the remembered list, which is empty
   }
   ListUpdate next() {
     while (updates.empty()) {
-      inbox.wait(10'000);
-      for (core::Message& message : inbox.take()) updates.push_back(std::get<core::ListTold>(message).update);
+      inbox.wait_for_message(10'000);
+      for (core::Message& message : inbox.take_all())
+        updates.push_back(std::get<core::ListUpdateReceived>(message).update);
       REQUIRE_MESSAGE(!updates.empty(), "no list update arrived");
     }
     ListUpdate update = std::move(updates.front());
@@ -50,9 +52,9 @@
   }
   // Accepts a call on discovery's side and reads its request.
   Peer accept_call() {
-    hosts.watch();
+    hosts.start_watch();
     Peer peer = discovery.accept();
-    peer.message();
+    peer.read_message();
     return peer;
   }
   bool call_arrives() {
@@ -60,14 +62,14 @@
     return ::poll(&poll_fd, 1, 50) > 0;
   }
 
-  Port discovery;
+  ListeningPort discovery;
   core::Clock clock;
   core::Inbox inbox;
   BufferPool pool{16};
   std::deque<ListUpdate> updates;
-  park::Park park{clock};
-  park::Crew crew{{}};
-  HostGroup hosts;
+  park::EventLoop park{clock};
+  park::ThreadPool crew{{}};
+  EndpointListClient hosts;
 };
 
 // Guards the growth of the fleet: lines were once limited to 64 KiB, so that no list of more than some 525
@@ -85,9 +87,10 @@
       const ListUpdate full_list = client.next();
       CHECK(full_list.kind == ListKind::full);
       CHECK(full_list.entries.size() == static_cast<std::size_t>(workers));
-      Hosts changed;
+      EndpointEntries changed;
       for (int i = 0; i < 1'000; ++i)
-        changed.push_back(host_json("s-" + std::to_string(10'000'000 + i), "127.0.0.1:9000", "Terminating"));
+        changed.push_back(
+            endpoint_json("s-" + std::to_string(10'000'000 + i), "127.0.0.1:9000", "Terminating"));
       watch.write(
           to_chunks(nlohmann::json{{"seq", 42}, {"whole", false}, {"hosts", changed}}.dump() + "\n", 997));
       const ListUpdate changes = client.next();
@@ -116,7 +119,7 @@
   for (const std::string& text : {too_large, twice, cut}) {
     CAPTURE(text.substr(0, 60));
     Client client({100, 100'000, 4'096});
-    client.clock.set(kNow);
+    client.clock.set(kStartTimeMs);
     {
       Peer watch = client.accept_call();
       watch.write(kResponseHead + to_chunks(whole_list(100, 41).dump() + "\n", 4'096));
@@ -126,20 +129,20 @@
     for (int calls = 0; calls < 2; ++calls) {
       Peer watch = client.accept_call();
       watch.write(kResponseHead + to_chunks(text, 4'096));
-      watch.socket.shut(SHUT_WR);
+      watch.socket.shut_down(SHUT_WR);
       const ListUpdate failed = client.next();
       CHECK(failed.kind == ListKind::failed);
-      CHECK(failed.as_of >= core::to_micros(kNow));
+      CHECK(failed.as_of >= core::to_micros(kStartTimeMs));
       CHECK(client.hosts.find("s-10000099"));
     }
-    client.hosts.watch();
+    client.hosts.start_watch();
     CHECK_FALSE(client.call_arrives());
     // A dispatcher may use 4 KB a second for control traffic; the list is in force until the next call is
     // due.
-    client.clock.set(kNow + 2'000);
+    client.clock.set(kStartTimeMs + 2'000);
     CHECK_FALSE(client.call_arrives());
-    client.clock.set(kNow + 10'000);
-    CHECK(client.discovery.accept().message().find("since=41 ") != std::string::npos);
+    client.clock.set(kStartTimeMs + 10'000);
+    CHECK(client.discovery.accept().read_message().find("since=41 ") != std::string::npos);
   }
 }
 
