--- a/tests/node_harness.hpp
+++ b/tests/node_harness.hpp
@@ -28,12 +28,12 @@
 
 namespace woadtide {
 
-using Hosts = std::vector<nlohmann::json>;
+using EndpointEntries = std::vector<nlohmann::json>;
 
-inline constexpr double kNow = 1'700'000'000'000;  // initial time of the tests' clocks
+inline constexpr double kStartTimeMs = 1'700'000'000'000;  // initial time of the tests' clocks
 
 // Waits until `done` returns true; fails the test after 10 s of real time.
-inline void await(const std::function<bool()>& done) {
+inline void wait_until(const std::function<bool()>& done) {
   const core::Clock real;
   for (const double end = real.now() + 10'000; !done();) {
     REQUIRE(real.now() < end);
@@ -42,7 +42,7 @@
 }
 
 // Whether input or a connection arrives within `within_ms` ms of real time.
-inline bool comes(const net::Socket& socket, int within_ms) {
+inline bool has_input(const net::Socket& socket, int within_ms) {
   pollfd poll_fd{socket.fd(), POLLIN, 0};
   return ::poll(&poll_fd, 1, within_ms) > 0;
 }
@@ -55,7 +55,7 @@
   }
   static Peer to(int port) {
     const net::Address address("127.0.0.1:" + std::to_string(port));
-    net::Socket socket = net::Socket::make(address);
+    net::Socket socket = net::Socket::create(address);
     REQUIRE(socket.connect(address, 5'000));
     return Peer(std::move(socket));
   }
@@ -66,31 +66,31 @@
     char bytes[4096];
     const ssize_t count = ::recv(socket.fd(), bytes, sizeof bytes, 0);
     REQUIRE_MESSAGE((count >= 0 || errno == ECONNRESET), "nothing was received in time");
-    if (count > 0) come.append(bytes, static_cast<std::size_t>(count));
+    if (count > 0) received.append(bytes, static_cast<std::size_t>(count));
     return count > 0;
   }
   // Reads a message with a Content-Length or without a body.
-  std::string message() {
+  std::string read_message() {
     std::size_t end = 0;
-    while ((end = come.find("\r\n\r\n")) == std::string::npos) REQUIRE(read_some());
-    const std::size_t field = come.find("Content-Length: ");
-    const std::size_t body = field < end ? std::stoul(come.substr(field + 16)) : 0;
-    while (come.size() < end + 4 + body) REQUIRE(read_some());
-    std::string message_text = come.substr(0, end + 4 + body);
-    come.erase(0, message_text.size());
+    while ((end = received.find("\r\n\r\n")) == std::string::npos) REQUIRE(read_some());
+    const std::size_t field = received.find("Content-Length: ");
+    const std::size_t body = field < end ? std::stoul(received.substr(field + 16)) : 0;
+    while (received.size() < end + 4 + body) REQUIRE(read_some());
+    std::string message_text = received.substr(0, end + 4 + body);
+    received.erase(0, message_text.size());
     return message_text;
   }
-  bool closed() {
-    come.clear();
+  bool is_closed() {
+    received.clear();
     return !read_some();
   }
 
   net::Socket socket;
-  std::string come;
+  std::string received;
 };
 
 // A listening socket of a worker or of discovery.
-struct Port {
+struct ListeningPort {
   net::Socket socket = net::Socket::listen_at(net::Address("127.0.0.1:0"));
   std::string dial() const { return "127.0.0.1:" + std::to_string(socket.port()); }
   Peer accept() {
@@ -102,12 +102,12 @@
   }
 };
 
-inline nlohmann::json host_json(const std::string& host, const std::string& dial,
-                                const char* health = "Ready") {
+inline nlohmann::json endpoint_json(const std::string& host, const std::string& dial,
+                                    const char* health = "Ready") {
   return {{"host", host}, {"dial", dial}, {"health", health}, {"site", "a"}, {"born_ms", 0}};
 }
 
-inline nlohmann::json config_json(Hosts hosts, const std::string& discovery) {
+inline nlohmann::json config_json(EndpointEntries hosts, const std::string& discovery) {
   return {{"name", "n0"},
           {"listen", "127.0.0.1:0"},
           {"discovery", discovery},
@@ -142,7 +142,7 @@
          "\r\nX-Budget: 5000m\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-inline std::string chunked(const std::vector<std::string>& lines) {
+inline std::string chunked_response(const std::vector<std::string>& lines) {
   std::string text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (const std::string& line : lines) {
     char size[16];
@@ -151,11 +151,13 @@
   }
   return text;
 }
-inline std::string event(const std::string& id, const std::string& state, const std::string& more = "") {
+inline std::string event_line(const std::string& id, const std::string& state, const std::string& more = "") {
   return R"({"id":")" + id + R"(","from":"w","state":")" + state + '"' + more + "}";
 }
-inline std::string done(const std::string& id, const std::string& result) {
-  return chunked({event(id, "started"), event(id, "done", R"(,"result":")" + result + '"')}) + "0\r\n\r\n";
+inline std::string done_response(const std::string& id, const std::string& result) {
+  return chunked_response(
+             {event_line(id, "started"), event_line(id, "done", R"(,"result":")" + result + '"')}) +
+         "0\r\n\r\n";
 }
 
 // Sends one line to a node's management address and returns the whole answer.
@@ -164,7 +166,7 @@
   link.write(line);
   while (link.read_some()) {
   }
-  return link.come;
+  return link.received;
 }
 
 inline void await_ready(const Node& node) {
@@ -177,19 +179,20 @@
 
 // Discovery's side of the watch that a node opens: confirms the list that the node remembers. Returns once
 // the node is ready; the watch stays open as long as the returned object.
-inline Peer confirm_list(Port& discovery, const Node& node) {
+inline Peer confirm_list(ListeningPort& discovery, const Node& node) {
   Peer watch = discovery.accept();
-  watch.message();
-  watch.write(chunked({R"({"seq":41,"whole":false,"hosts":[]})"}));
+  watch.read_message();
+  watch.write(chunked_response({R"({"seq":41,"whole":false,"hosts":[]})"}));
   await_ready(node);
   return watch;
 }
 
 // A whole dispatcher that remembers the list `hosts`, confirmed by discovery; its clock does not advance by
 // itself.
-struct Served {
+struct TestDispatcher {
   using ConfigEdit = std::function<void(nlohmann::json& config)>;
-  explicit Served(Hosts hosts, const ConfigEdit& edit = {}, park::Crew::Start start = {})
+  explicit TestDispatcher(EndpointEntries hosts, const ConfigEdit& edit = {},
+                          park::ThreadPool::ThreadFactory start = {})
       : config(edited(config_json(std::move(hosts), discovery.dial()), edit)),
         node(core::read_config(config), stopped_clock(), {}, std::move(start)) {
     if (config["discovery"] == discovery.dial()) watch = confirm_list(discovery, node);
@@ -199,20 +202,20 @@
     return config;
   }
   core::Clock& stopped_clock() {
-    clock.set(kNow);
+    clock.set(kStartTimeMs);
     return clock;
   }
   Peer client() { return Peer::to(node.port()); }
   // Sends one line to the management address and returns the whole answer.
   std::string call(const std::string& line) { return call_management(node, line); }
   // Sends one query on a new connection and returns the response.
-  std::string ask(const std::string& text) {
+  std::string send_query(const std::string& text) {
     Peer link = client();
     link.write(text);
-    return link.message();
+    return link.read_message();
   }
 
-  Port discovery;
+  ListeningPort discovery;
   core::Clock clock;
   nlohmann::json config;
   Node node;
--- a/tests/park_test.cpp
+++ b/tests/park_test.cpp
@@ -34,8 +34,8 @@
 };
 
 // Records the calls that the event loop makes.
-struct RecordingHandler : Guest {
-  void ready(Signs events) override {
+struct RecordingHandler : EventHandler {
+  void on_ready(ReadinessEvents events) override {
     char bytes[16];
     if (events.writable) writable_events += 1;
     if (events.closed) closed = true;
@@ -44,7 +44,7 @@
     reads += 1;
     if (after_read) after_read();
   }
-  void late() override {
+  void on_timeout() override {
     order += "l";
     timeouts += 1;
   }
@@ -57,8 +57,9 @@
 
 // Waits until each handler has received the first event of a new descriptor, that it is writable: all later
 // events are caused by the test.
-void await_registered(Park& park, std::initializer_list<const RecordingHandler*> handlers) {
-  for (const RecordingHandler* handler : handlers) await([handler] { return handler->writable_events > 0; });
+void await_registered(EventLoop& park, std::initializer_list<const RecordingHandler*> handlers) {
+  for (const RecordingHandler* handler : handlers)
+    wait_until([handler] { return handler->writable_events > 0; });
   park.quiesce();
 }
 
@@ -101,77 +102,77 @@
 
 TEST_CASE("an event handler is notified of bytes and timeouts, and of nothing after its removal") {
   core::Clock clock;
-  clock.set(kNow);
+  clock.set(kStartTimeMs);
   SocketPair pair, other;
   RecordingHandler handler;
   handler.fd = pair.here.get();
-  Park park(clock);
-  const auto token = park.enter(handler, pair.here.get());
+  EventLoop park(clock);
+  const auto token = park.add(handler, pair.here.get());
   pair.write();
-  await([&] { return handler.reads == 1; });
-  park.wake_at(token, kNow + 50);
-  park.wake_at(token, kNow + 100);  // moved to a later time: no call at 50
-  clock.set(kNow + 60);
+  wait_until([&] { return handler.reads == 1; });
+  park.set_timeout(token, kStartTimeMs + 50);
+  park.set_timeout(token, kStartTimeMs + 100);  // moved to a later time: no call at 50
+  clock.set(kStartTimeMs + 60);
   pair.write();
-  await([&] { return handler.reads == 2; });
+  wait_until([&] { return handler.reads == 2; });
   park.quiesce();
   CHECK(handler.timeouts == 0);
-  clock.set(kNow + 100);
-  await([&] { return handler.timeouts == 1; });
+  clock.set(kStartTimeMs + 100);
+  wait_until([&] { return handler.timeouts == 1; });
   pair.there = Fd();
-  await([&] { return handler.closed.load(); });
-  park.leave(token);
+  wait_until([&] { return handler.closed.load(); });
+  park.remove(token);
   park.quiesce();
   const int reads = handler.reads;
-  park.poke(token, {.readable = true});
-  park.wake_at(token, kNow);
+  park.wake(token, {.readable = true});
+  park.set_timeout(token, kStartTimeMs);
   // The descriptor stays open elsewhere, as does a listener that another process holds: no handler is called
   // for it.
   RecordingHandler last;
   last.fd = other.here.get();
-  const auto last_token = park.enter(last, other.here.get());
+  const auto last_token = park.add(last, other.here.get());
   other.write();
-  await([&] { return last.reads == 1; });
+  wait_until([&] { return last.reads == 1; });
   CHECK(handler.reads == reads);
   CHECK(handler.timeouts == 1);
-  park.leave(last_token);
+  park.remove(last_token);
   park.quiesce();
-  CHECK(park.guests() == 0);
+  CHECK(park.registration_count() == 0);
 }
 
 // Guards a query whose first bytes arrive at the moment at which the idle timeout of its link expires.
 TEST_CASE("with bytes and a timeout at once, the handler reads first and its new timeout counts") {
   core::Clock clock;
-  clock.set(kNow);
+  clock.set(kStartTimeMs);
   SocketPair pair, gate;
   RecordingHandler handler, blocking;
   handler.fd = pair.here.get();
   blocking.fd = gate.here.get();
-  Park park(clock);
+  EventLoop park(clock);
   std::promise<void> blocked, go;
   const auto may_go = go.get_future().share();
-  std::atomic<Park::Token> token{Park::kNone};
+  std::atomic<EventLoop::Token> token{EventLoop::kNoToken};
   blocking.after_read = [&] {
     blocked.set_value();
     may_go.wait();
   };
-  handler.after_read = [&] { park.wake_at(token, kNow + 20); };
-  token = park.enter(handler, pair.here.get());
-  const auto blocking_token = park.enter(blocking, gate.here.get());
+  handler.after_read = [&] { park.set_timeout(token, kStartTimeMs + 20); };
+  token = park.add(handler, pair.here.get());
+  const auto blocking_token = park.add(blocking, gate.here.get());
   await_registered(park, {&handler, &blocking});
   gate.write();  // both events happen while a call to the other handler is running
   blocked.get_future().wait();
-  park.wake_at(token, kNow + 10);
+  park.set_timeout(token, kStartTimeMs + 10);
   pair.write();
-  clock.set(kNow + 10);
+  clock.set(kStartTimeMs + 10);
   go.set_value();
-  await([&] { return handler.reads == 1; });
+  wait_until([&] { return handler.reads == 1; });
   park.quiesce();
   CHECK(handler.timeouts == 0);
   CHECK(handler.order == "r");
-  clock.set(kNow + 20);
-  await([&] { return handler.timeouts == 1; });
-  for (const Park::Token registered : {token.load(), blocking_token}) park.leave(registered);
+  clock.set(kStartTimeMs + 20);
+  wait_until([&] { return handler.timeouts == 1; });
+  for (const EventLoop::Token registered : {token.load(), blocking_token}) park.remove(registered);
   park.quiesce();
   CHECK(handler.order == "rl");
 }
@@ -181,22 +182,22 @@
   const auto may_go = go.get_future().share();
   std::atomic<int> ran{0};
   {
-    Crew crew({.most = 2, .reserve = 1, .kept = 1, .idle_timeout_ms = 20});
+    ThreadPool crew({.max_threads = 2, .urgent_reserve = 1, .kept_idle_threads = 1, .idle_timeout_ms = 20});
     const auto job = [&ran, may_go] {
       may_go.wait();
       ran += 1;
       throw std::runtime_error("a failing job must not affect others");
     };
-    CHECK(crew.take(job));
-    CHECK(crew.take(job));
-    CHECK_FALSE(crew.take(job));
-    CHECK(crew.take(job, true));
-    CHECK_FALSE(crew.take(job, true));
+    CHECK(crew.try_submit(job));
+    CHECK(crew.try_submit(job));
+    CHECK_FALSE(crew.try_submit(job));
+    CHECK(crew.try_submit(job, true));
+    CHECK_FALSE(crew.try_submit(job, true));
     go.set_value();
-    await([&] { return ran == 3; });
-    await([&] { return crew.threads() == 1; });  // the others ended after the idle timeout
-    CHECK(crew.take(job));                       // by the idle thread
-    CHECK(crew.threads() == 1);
+    wait_until([&] { return ran == 3; });
+    wait_until([&] { return crew.thread_count() == 1; });  // the others ended after the idle timeout
+    CHECK(crew.try_submit(job));                           // by the idle thread
+    CHECK(crew.thread_count() == 1);
   }
   CHECK(ran == 4);  // the destructor waits for running jobs
 }
@@ -204,15 +205,15 @@
 TEST_CASE("where no thread can be created, a job is rejected, one line is logged, and later jobs run") {
   const CapturedLog log;
   std::atomic<bool> threads_available{false};
-  Crew crew({}, [&](const std::string& name, std::function<void()> body) {
+  ThreadPool crew({}, [&](const std::string& name, std::function<void()> body) {
     if (!threads_available) throw std::system_error(EAGAIN, std::generic_category(), "thread " + name);
     return Thread(name, std::move(body));
   });
-  for (int i = 0; i < 3; ++i) CHECK_FALSE(crew.take([] { FAIL("the job was rejected but runs"); }));
+  for (int i = 0; i < 3; ++i) CHECK_FALSE(crew.try_submit([] { FAIL("the job was rejected but runs"); }));
   CHECK(CapturedLog::count_lines_with("crew: thread crew: Resource temporarily unavailable") == 1);
   threads_available = true;
   std::promise<void> ran;
-  CHECK(crew.take([&] { ran.set_value(); }));
+  CHECK(crew.try_submit([&] { ran.set_value(); }));
   ran.get_future().wait();
 }
 
@@ -232,23 +233,23 @@
     net::MessageReader reader(pool);
     std::vector<std::string> seen;
     const auto take = [&] {
-      const net::Message message = reader.take();
-      std::string whole = std::string(message.head.target) + (message.closes ? " closes " : " ");
+      const net::IncomingMessage message = reader.take();
+      std::string whole = std::string(message.head.target) + (message.closes_link ? " closes " : " ");
       for (const auto part : message.body) whole += part;
       seen.push_back(whole);
     };
     for (std::size_t at = 0; at < text.size();) {
-      const auto room = reader.room();
+      const auto room = reader.free_space();
       REQUIRE_FALSE(room.empty());
       const std::size_t count = std::min({piece, room.size(), text.size() - at});
       text.copy(room.data(), count, at);
       at += count;
-      if (!reader.came(count)) continue;
+      if (!reader.bytes_received(count)) continue;
       take();
-      while (reader.has_rest() && !reader.room().empty() && reader.came(0)) take();
+      while (reader.has_surplus() && !reader.free_space().empty() && reader.bytes_received(0)) take();
     }
     CHECK(seen == std::vector<std::string>{"/a hello world", "/b closes " + body});
-    CHECK(pool.out() == 0);
+    CHECK(pool.in_use() == 0);
   }
 }
 
@@ -256,17 +257,17 @@
   net::BufferPool pool(1);
   net::MessageReader reader(pool), other(pool);
   const std::string text = query_text("q", "refund-payout", std::string(20'000, 'x'));
-  auto room = reader.room();
-  CHECK(other.room().empty());
+  auto room = reader.free_space();
+  CHECK(other.free_space().empty());
   text.copy(room.data(), room.size());
-  CHECK_FALSE(reader.came(room.size()));
-  CHECK(reader.room().empty());
-  pool.set_most(2);
+  CHECK_FALSE(reader.bytes_received(room.size()));
+  CHECK(reader.free_space().empty());
+  pool.set_max_buffers(2);
   const std::size_t first_part = room.size();
-  room = reader.room();
+  room = reader.free_space();
   REQUIRE_FALSE(room.empty());
   text.copy(room.data(), text.size() - first_part, first_part);
-  CHECK(reader.came(text.size() - first_part));
+  CHECK(reader.bytes_received(text.size() - first_part));
 }
 
 // Whole dispatchers ---------------------------------------------------------------------------------------
@@ -274,8 +275,8 @@
 // Guards complete queries against hundreds of links that send a head byte by byte: those must not occupy
 // threads.
 TEST_CASE("hundreds of slowly sent heads occupy no thread and do not delay a complete query") {
-  Port worker;
-  Served served(Hosts{host_json("w", worker.dial())});
+  ListeningPort worker;
+  TestDispatcher served(EndpointEntries{endpoint_json("w", worker.dial())});
   std::vector<Peer> trickling;
   const std::string text = query_text("t", "refund-payout");
   for (int i = 0; i < 100; ++i) {
@@ -287,61 +288,61 @@
   Peer whole = served.client();
   whole.write(query_text("a1", "refund-payout"));
   Peer link = worker.accept();
-  link.message();
-  await([] { return threads_named("crew") <= 3; });
-  link.write(done("a1", "ok"));
-  CHECK(whole.message().ends_with("\r\n\r\nok"));
+  link.read_message();
+  wait_until([] { return threads_named("crew") <= 3; });
+  link.write(done_response("a1", "ok"));
+  CHECK(whole.read_message().ends_with("\r\n\r\nok"));
 }
 
 // Guards the capacity of a dispatcher: a query that waits for an answer must not occupy a thread either.
 TEST_CASE("queries at workers that do not answer occupy no thread") {
-  Port worker;
-  Served served(Hosts{host_json("w", worker.dial())});
+  ListeningPort worker;
+  TestDispatcher served(EndpointEntries{endpoint_json("w", worker.dial())});
   std::vector<Peer> clients, links;
   for (int i = 0; i < 20; ++i) {
     clients.push_back(served.client());
     clients.back().write(query_text("a" + std::to_string(i), "receipt-check"));
   }
   links.push_back(worker.accept());
-  links.back().message();
-  await([] { return threads_named("crew") <= 2; });
+  links.back().read_message();
+  wait_until([] { return threads_named("crew") <= 2; });
   // A thread of an earlier test that has ended may still be in the kernel's list.
-  await([] { return threads_named("park") == 1; });
+  wait_until([] { return threads_named("park") == 1; });
 }
 
 // Guards the single answer to each query, and drains, while the system cannot create threads.
 TEST_CASE("without threads queries are refused at once, and service resumes once threads are available") {
   const CapturedLog log;
-  Port worker, discovery;
+  ListeningPort worker, discovery;
   core::Clock clock;
-  clock.set(kNow);
+  clock.set(kStartTimeMs);
   std::atomic<bool> threads_available{false};
-  Node node(core::read_config(config_json(Hosts{host_json("w", worker.dial())}, discovery.dial())), clock, {},
-            [&](const std::string& name, std::function<void()> body) {
-              if (!threads_available)
-                throw std::system_error(EAGAIN, std::generic_category(), "thread " + name);
-              return Thread(name, std::move(body));
-            });
+  Node node(
+      core::read_config(config_json(EndpointEntries{endpoint_json("w", worker.dial())}, discovery.dial())),
+      clock, {}, [&](const std::string& name, std::function<void()> body) {
+        if (!threads_available) throw std::system_error(EAGAIN, std::generic_category(), "thread " + name);
+        return Thread(name, std::move(body));
+      });
   Peer client = Peer::to(node.port());
   client.write(query_text("a1", "refund-payout"));
-  const std::string answer = client.message();
+  const std::string answer = client.read_message();
   CHECK(answer.find("HTTP/1.1 503 ") == 0);
   CHECK(answer.find("Retry-After: ") != std::string::npos);
   Peer caller = Peer::to(node.management_port());
   CHECK(caller.read_some());
-  CHECK(caller.come.find("error ") == 0);
+  CHECK(caller.received.find("error ") == 0);
   CHECK(CapturedLog::count_lines_with("crew: thread crew: ") == 1);
   threads_available = true;
-  clock.set(kNow + 2'000);
+  clock.set(kStartTimeMs + 2'000);
   Peer watch = discovery.accept();  // the watch has been requested all the time
-  CHECK(watch.message().find("GET /registry/instances") == 0);
-  watch.write(chunked({R"({"seq":41,"whole":false,"hosts":[]})"}));
+  CHECK(watch.read_message().find("GET /registry/instances") == 0);
+  watch.write(chunked_response({R"({"seq":41,"whole":false,"hosts":[]})"}));
   await_ready(node);
   client.write(query_text("a2", "refund-payout"));
   Peer link = worker.accept();
-  link.message();
-  link.write(done("a2", "ok"));
-  CHECK(client.message().ends_with("\r\n\r\nok"));
+  link.read_message();
+  link.write(done_response("a2", "ok"));
+  CHECK(client.read_message().ends_with("\r\n\r\nok"));
 }
 
 // Returns whether this process still has its end of a connection that was accepted at `port`.
@@ -373,15 +374,15 @@
 #ifndef __SANITIZE_ADDRESS__
 TEST_CASE("without descriptors links wait, one line is logged, and they are served once some are free") {
   const CapturedLog log;
-  Port worker;
-  Served served(Hosts{host_json("w", worker.dial())});
+  ListeningPort worker;
+  TestDispatcher served(EndpointEntries{endpoint_json("w", worker.dial())});
   Peer first = served.client();
   first.write("GET /health/live HTTP/1.1\r\n\r\n");
-  first.message();
-  Peer waiting(net::Socket::make(net::Address("127.0.0.1:" + std::to_string(served.node.port()))));
+  first.read_message();
+  Peer waiting(net::Socket::create(net::Address("127.0.0.1:" + std::to_string(served.node.port()))));
   // The node closes its end of a management connection only after the caller's: wait for that, so that it
   // does not happen while no descriptor is available.
-  await([&served] { return !has_accepted_at(served.node.management_port()); });
+  wait_until([&served] { return !has_accepted_at(served.node.management_port()); });
   rlimit original{};
   REQUIRE(::getrlimit(RLIMIT_NOFILE, &original) == 0);
   // Allow no descriptor above the lowest free one; open descriptors stay open.
@@ -391,15 +392,15 @@
   REQUIRE(::setrlimit(RLIMIT_NOFILE, &reduced) == 0);
   CHECK(waiting.socket.connect(net::Address("127.0.0.1:" + std::to_string(served.node.port())), 5'000));
   waiting.write("GET /health/live HTTP/1.1\r\n\r\n");
-  await([] { return CapturedLog::count_lines_with("acceptor: out of descriptors or memory") == 1; });
+  wait_until([] { return CapturedLog::count_lines_with("acceptor: out of descriptors or memory") == 1; });
   // A query that has been received but cannot be sent to a worker is answered.
   const std::vector<Fd> taken = take_free_descriptors();
   first.write(query_text("a2", "refund-payout"));
-  const std::string refused = first.message();
+  const std::string refused = first.read_message();
   REQUIRE(::setrlimit(RLIMIT_NOFILE, &original) == 0);
   CHECK(refused.find("HTTP/1.1 503 ") == 0);
-  served.clock.set(kNow + 100);
-  CHECK(waiting.message().find("HTTP/1.1 ") == 0);
+  served.clock.set(kStartTimeMs + 100);
+  CHECK(waiting.read_message().find("HTTP/1.1 ") == 0);
   CHECK(CapturedLog::count_lines_with("acceptor: out of descriptors or memory") == 1);
 }
 #endif
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -46,15 +46,15 @@
     if (done && order.kind == Kind::go_back) runs_new[order.member] = false;
     if (done && order.kind == Kind::keep_out) kept_out.insert(order.member);
     if (reply_arrives)
-      enqueue(rollout.answered(now, order, done, "it says no"));
+      enqueue(rollout.on_order_result(now, order, done, "it says no"));
     else
       delayed_results.push_back({order, done});
   }
   // The controller is killed and restarted: what was not serialized is lost.
   void crash() {
-    rollout = Rollout::parse(rollout.text());
+    rollout = Rollout::parse(rollout.serialize());
     pending_orders.clear();
-    enqueue(rollout.outstanding());
+    enqueue(rollout.outstanding_orders());
   }
   int new_version_count() const {
     return static_cast<int>(
@@ -75,18 +75,18 @@
         violation = "two thirds of a zone out of service";
   }
   // From here on everything works, until the rollout ends or pauses.
-  void run_without_faults(Word word) {
-    for (int i = 0; i < 4'000 && !rollout.over() && rollout.paused().empty(); ++i) {
+  void run_without_faults(StageAssessment word) {
+    for (int i = 0; i < 4'000 && !rollout.finished() && rollout.pause_reason().empty(); ++i) {
       now += 100;
       for (const auto& [name, on_new_version] : runs_new)
-        enqueue(rollout.found(now, name, true, on_new_version));
+        enqueue(rollout.on_member_status(now, name, true, on_new_version));
       enqueue(rollout.tick(now));
       while (!pending_orders.empty()) {
         const Order order = pending_orders.front();
         pending_orders.pop_front();
         execute(order, true, true);
       }
-      enqueue(rollout.judged(now, word, "test assessment"));
+      enqueue(rollout.on_assessment(now, word, "test assessment"));
     }
   }
 
@@ -104,7 +104,7 @@
 
 TEST_CASE("a change without faults passes all stages and ends complete") {
   SimulatedFleet fleet(plan_of(12, 3, {1, 3, 12}));
-  fleet.run_without_faults(Word::not_worse);
+  fleet.run_without_faults(StageAssessment::not_worse);
   CHECK(fleet.rollout.phase() == Phase::complete);
   CHECK(fleet.new_version_count() == 12);
   CHECK(fleet.now >= 3'000);  // three bake times
@@ -116,31 +116,31 @@
   fleet.enqueue(fleet.rollout.tick(0));
   CHECK(fleet.pending_orders.size() == 4);
   fleet.execute({Kind::check, "n2", 3}, false, true);
-  CHECK(fleet.rollout.phase() == Phase::back);
-  CHECK(fleet.rollout.reason() == "n2 cannot take it: it says no");
+  CHECK(fleet.rollout.phase() == Phase::rolled_back);
+  CHECK(fleet.rollout.rollback_reason() == "n2 cannot take it: it says no");
   fleet.execute({Kind::check, "n1", 2}, true, true);
-  fleet.run_without_faults(Word::not_worse);
+  fleet.run_without_faults(StageAssessment::not_worse);
   CHECK(fleet.new_version_count() == 0);
 }
 
 TEST_CASE("a worse stage is rolled back even while paused; an inconclusive stage pauses with that reason") {
   SimulatedFleet fleet(plan_of(6, 2, {2, 6}));
-  fleet.run_without_faults(Word::cannot_tell);
-  CHECK(fleet.rollout.paused() == "stage 1: cannot tell yet whether it does worse");
+  fleet.run_without_faults(StageAssessment::cannot_tell);
+  CHECK(fleet.rollout.pause_reason() == "stage 1: cannot tell yet whether it does worse");
   CHECK(fleet.new_version_count() == 2);
-  fleet.enqueue(fleet.rollout.judged(fleet.now, Word::worse, "failed of a"));
-  fleet.run_without_faults(Word::worse);
-  CHECK(fleet.rollout.phase() == Phase::back);
-  CHECK(fleet.rollout.reason() == "stage 1 does worse: failed of a");
+  fleet.enqueue(fleet.rollout.on_assessment(fleet.now, StageAssessment::worse, "failed of a"));
+  fleet.run_without_faults(StageAssessment::worse);
+  CHECK(fleet.rollout.phase() == Phase::rolled_back);
+  CHECK(fleet.rollout.rollback_reason() == "stage 1 does worse: failed of a");
   CHECK(fleet.new_version_count() == 0);
 }
 
 TEST_CASE("a member that cannot go back is kept out and reported; the others still go back") {
   SimulatedFleet fleet(plan_of(3, 1, {3}));
-  fleet.run_without_faults(Word::cannot_tell);
+  fleet.run_without_faults(StageAssessment::cannot_tell);
   CHECK(fleet.new_version_count() == 3);
   fleet.enqueue(fleet.rollout.abort(fleet.now));
-  for (int i = 0; i < 100 && !fleet.rollout.over(); ++i) {
+  for (int i = 0; i < 100 && !fleet.rollout.finished(); ++i) {
     fleet.now += 500;
     fleet.enqueue(fleet.rollout.tick(fleet.now));
     for (std::deque<Order> pending_orders = std::exchange(fleet.pending_orders, {}); !pending_orders.empty();
@@ -149,7 +149,7 @@
                     pending_orders.front().member != "n1" || pending_orders.front().kind == Kind::keep_out,
                     true);
   }
-  CHECK(fleet.rollout.phase() == Phase::back);
+  CHECK(fleet.rollout.phase() == Phase::rolled_back);
   CHECK(fleet.rollout.member_state("n1") == MemberState::kept_out);
   CHECK(fleet.kept_out.contains("n1"));
   CHECK(fleet.new_version_count() == 1);
@@ -163,12 +163,12 @@
        pending_orders.pop_front())
     fleet.execute(pending_orders.front(), true, true);
   fleet.runs_new.erase("n2");
-  fleet.enqueue(fleet.rollout.found(fleet.now, "n2", false, false));
-  fleet.run_without_faults(Word::not_worse);
-  CHECK(fleet.rollout.paused() == "stage 2: n2 is down");
+  fleet.enqueue(fleet.rollout.on_member_status(fleet.now, "n2", false, false));
+  fleet.run_without_faults(StageAssessment::not_worse);
+  CHECK(fleet.rollout.pause_reason() == "stage 2: n2 is down");
   fleet.runs_new["n2"] = false;
   fleet.enqueue(fleet.rollout.resume(fleet.now));
-  fleet.run_without_faults(Word::not_worse);
+  fleet.run_without_faults(StageAssessment::not_worse);
   CHECK(fleet.rollout.phase() == Phase::complete);
 }
 
@@ -180,16 +180,16 @@
   CHECK(fleet.pending_orders.back() == Order{Kind::move, "n0", 3});
   fleet.execute({Kind::move, "n0", 3}, true, true);
   CHECK(fleet.rollout.phase() == Phase::baking);
-  fleet.enqueue(fleet.rollout.found(1, "n0", true, false));  // it restarted with the old version
+  fleet.enqueue(fleet.rollout.on_member_status(1, "n0", true, false));  // it restarted with the old version
   CHECK(fleet.pending_orders.back() == Order{Kind::move, "n0", 4});
-  fleet.enqueue(fleet.rollout.answered(2, {Kind::move, "n0", 3}, true, ""));
+  fleet.enqueue(fleet.rollout.on_order_result(2, {Kind::move, "n0", 3}, true, ""));
   CHECK(fleet.rollout.member_state("n0") == MemberState::moving);
 }
 
 TEST_CASE("a malformed state or one of another version is refused with a message") {
   CHECK_THROWS_AS(Rollout::parse("{"), std::invalid_argument);
-  std::string text = Rollout(plan_of(2, 1, {1, 2})).text();
-  CHECK(Rollout::parse(text).text() == text);
+  std::string text = Rollout(plan_of(2, 1, {1, 2})).serialize();
+  CHECK(Rollout::parse(text).serialize() == text);
   text.replace(text.find("\"version\": 1"), 12, "\"version\": 2");
   CHECK_THROWS_WITH(Rollout::parse(text), "a state of version 2; this one reads 1");
   CHECK_THROWS_AS(Rollout(plan_of(4, 1, {2, 2, 4})), std::invalid_argument);
@@ -216,18 +216,19 @@
           fleet.crash();
           break;
         case 1:
-          fleet.enqueue(fleet.rollout.found(fleet.now, member, variant, fleet.runs_new[member]));
+          fleet.enqueue(fleet.rollout.on_member_status(fleet.now, member, variant, fleet.runs_new[member]));
           break;
         case 2:
-          fleet.enqueue(fleet.rollout.judged(fleet.now, variant ? Word::not_worse : Word::cannot_tell, "x"));
+          fleet.enqueue(fleet.rollout.on_assessment(
+              fleet.now, variant ? StageAssessment::not_worse : StageAssessment::cannot_tell, "x"));
           break;
         case 3:
           if (variant && step > 800) {
-            fleet.enqueue(fleet.rollout.judged(fleet.now, Word::worse, "x"));
+            fleet.enqueue(fleet.rollout.on_assessment(fleet.now, StageAssessment::worse, "x"));
           } else if (!fleet.delayed_results.empty()) {
             const auto [order, done] = fleet.delayed_results.front();
             fleet.delayed_results.pop_front();
-            fleet.enqueue(fleet.rollout.answered(fleet.now, order, done, "late"));
+            fleet.enqueue(fleet.rollout.on_order_result(fleet.now, order, done, "late"));
           }
           break;
         case 4:
@@ -248,11 +249,11 @@
       RC_ASSERT(fleet.violation == "");
     }
     fleet.enqueue(fleet.rollout.resume(fleet.now));
-    fleet.run_without_faults(Word::not_worse);
+    fleet.run_without_faults(StageAssessment::not_worse);
     RC_ASSERT(fleet.violation == "");
-    RC_ASSERT(fleet.rollout.over() || !fleet.rollout.paused().empty());
+    RC_ASSERT(fleet.rollout.finished() || !fleet.rollout.pause_reason().empty());
     if (fleet.rollout.phase() == Phase::complete) RC_ASSERT(fleet.new_version_count() == count);
-    if (fleet.rollout.phase() != Phase::back) return;
+    if (fleet.rollout.phase() != Phase::rolled_back) return;
     for (const auto& [name, on_new_version] : fleet.runs_new)
       RC_ASSERT(!on_new_version || fleet.rollout.member_state(name) == MemberState::kept_out);
   }));
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 TEST(Answer, AttemptThatDidNotRunIsSentElsewhereAtOnce) {
-  for (const Status status : {Status::full, Status::connect_failed, Status::moot})
+  for (const Status status : {Status::full, Status::connect_failed, Status::not_started})
     for (std::size_t c = 0; c < 4; ++c) {
       Driver d;
       d.update_list({entry("w1"), entry("w2")});
@@ -137,10 +137,10 @@
   d.update_list({restarted}, ListKind::changes);
   d.update_list({restarted});
   EXPECT_EQ(d.request("c"), "");
-  EXPECT_EQ(d.dispatcher.census(d.now).listed, 1);
-  EXPECT_EQ(d.dispatcher.census(d.now).avoided, 1);
+  EXPECT_EQ(d.dispatcher.worker_counts(d.now).listed, 1);
+  EXPECT_EQ(d.dispatcher.worker_counts(d.now).unavailable, 1);
   d.feed(Include{"w"});
-  EXPECT_EQ(d.dispatcher.census(d.now).avoided, 0);
+  EXPECT_EQ(d.dispatcher.worker_counts(d.now).unavailable, 0);
   d.advance(23s);
   EXPECT_EQ(d.request("d"), "w");
   EXPECT_TRUE(d.dispatcher.knows("w"));
@@ -175,7 +175,7 @@
     Driver d(settings_of(1, 0));
     d.update_list({entry("old")});
     for (int i = 0; i < 6; ++i) d.run_job("warm" + std::to_string(i), 100ms);
-    d.feed(Sharers{processes});
+    d.feed(SharingProcesses{processes});
     d.list_cold_worker();
     d.feed(Exclude{"old"});
     int count = 0, number = 0;
@@ -415,7 +415,7 @@
         if (d.now >= job.deadline) status = Status::timeout;
         job.attempts[n].outstanding = false;
         job.attempts[n].may_have_run =
-            status != Status::full && status != Status::connect_failed && status != Status::moot;
+            status != Status::full && status != Status::connect_failed && status != Status::not_started;
         if (status == Status::ok && !job.ended) job.ended = true, ++job.answers;
         d.feed(Outcome{id, static_cast<int>(n), status, d.now - job.attempts[n].sent_at, job.ended,
                        std::nullopt});
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -235,10 +235,10 @@
 
 TEST_CASE("list: its size is linear in the workers, and the size of one change is constant") {
   const auto bytes = [](int workers) {
-    return static_cast<double>(core::text_of(endpoint_list(workers)).size());
+    return static_cast<double>(core::serialize(endpoint_list(workers)).size());
   };
   CHECK(bytes(1'600) / bytes(100) == doctest::Approx(16).epsilon(0.02));
-  CHECK(core::text_of(endpoint_change(7, 2, WorkerState::draining)).size() <= 256);
+  CHECK(core::serialize(endpoint_change(7, 2, WorkerState::draining)).size() <= 256);
 }
 
 TEST_CASE("list: the client reports a list and a change, and no list for a line that it cannot parse") {
@@ -246,7 +246,8 @@
   ListClientHarness client;
   CHECK(client.deliver(endpoint_list(100)));
   CHECK(client.deliver(endpoint_change(7, 2, WorkerState::draining)));
-  CHECK(!client.deliver(core::HostList{3, true, {{{.worker = std::string(1'000'000, 'w')}, "127.0.0.1:1"}}}));
+  CHECK(!client.deliver(
+      core::EndpointList{3, true, {{{.worker = std::string(1'000'000, 'w')}, "127.0.0.1:1"}}}));
   core::set_log_sink(nullptr);
 }
 
@@ -257,7 +258,7 @@
     fleet.complete_checks();
     CHECK(fleet.orders_at_first_tick() == static_cast<std::size_t>(members));
     std::size_t moved = 0;
-    for (int stage = 0; stage < 10 && !fleet.rollout().over(); ++stage) {
+    for (int stage = 0; stage < 10 && !fleet.rollout().finished(); ++stage) {
       moved += fleet.move_allowed_members();
       fleet.approve_stage();
     }
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -105,14 +105,14 @@
 
 TEST_CASE("a written text is read back, also by the next process, and a missing file gives no text") {
   TemporaryDirectory directory;
-  CHECK_FALSE(File(directory.file()).read().text);
-  File file(directory.file());
+  CHECK_FALSE(StateFile(directory.file()).read().text);
+  StateFile file(directory.file());
   for (const std::string text : {"one", "", "three\nlines\n", "four"}) {
     file.write(text);
-    const Read read = File(directory.file()).read();
+    const ReadResult read = StateFile(directory.file()).read();
     REQUIRE(read.text);
     CHECK(*read.text == text);
-    CHECK(read.trouble.empty());
+    CHECK(read.warning.empty());
   }
 }
 
@@ -124,25 +124,25 @@
       CAPTURE(power_loss);
       CAPTURE(failing_operation);
       TemporaryDirectory directory;
-      File(directory.file()).write("first");
-      File(directory.file()).write("second");
+      StateFile(directory.file()).write("first");
+      StateFile(directory.file()).write("second");
       FaultInjectingFileSystem file_system(failing_operation, power_loss);
       bool written = false;
       try {
-        File(directory.file(), file_system).write("third");
+        StateFile(directory.file(), file_system).write("third");
         written = true;
       } catch (const std::system_error&) {
       }
       if (power_loss) file_system.lose_power();
-      const Read read = File(directory.file()).read();
+      const ReadResult read = StateFile(directory.file()).read();
       REQUIRE(read.text);
       if (written)
         CHECK(*read.text == "third");
       else
         CHECK((*read.text == "second" || *read.text == "third"));
       // The next write succeeds as usual.
-      File(directory.file()).write("fourth");
-      CHECK(File(directory.file()).read().text == "fourth");
+      StateFile(directory.file()).write("fourth");
+      CHECK(StateFile(directory.file()).read().text == "fourth");
       if (file_system.operations() < failing_operation) {
         CHECK(failing_operation > 6);  // every operation was reached
         break;
@@ -153,23 +153,23 @@
 TEST_CASE("a power loss after write() has returned loses nothing") {
   TemporaryDirectory directory;
   FaultInjectingFileSystem file_system(1'000, false);
-  File(directory.file(), file_system).write("kept");
+  StateFile(directory.file(), file_system).write("kept");
   file_system.lose_power();
-  CHECK(File(directory.file()).read().text == "kept");
+  CHECK(StateFile(directory.file()).read().text == "kept");
 }
 
 TEST_CASE("a damaged newest version falls back with a warning, and never replaces an intact version") {
   for (const int byte_position : {0, 18, 30, 60}) {  // positions in the header and in the text
     TemporaryDirectory directory;
-    File file(directory.file());
+    StateFile file(directory.file());
     file.write("the older text of some length");
     file.write("the newer text of some length");
     std::string bytes = contents(directory.file());
     bytes[static_cast<std::size_t>(byte_position) % bytes.size()] ^= 1;
     overwrite(directory.file(), bytes);
-    const Read read = file.read();
+    const ReadResult read = file.read();
     CHECK(read.text == "the older text of some length");
-    CHECK(read.trouble.find("damaged") != std::string::npos);
+    CHECK(read.warning.find("damaged") != std::string::npos);
     file.write("another");
     CHECK(contents(directory.file() + ".damaged") == bytes);
     CHECK(file.read().text == "another");
@@ -178,14 +178,14 @@
   }
   TemporaryDirectory directory;
   overwrite(directory.file(), "no state at all");
-  CHECK_THROWS_AS(File(directory.file()).read(), std::runtime_error);
+  CHECK_THROWS_AS(StateFile(directory.file()).read(), std::runtime_error);
 }
 
 TEST_CASE("a file of a newer format is rejected and left unchanged") {
   TemporaryDirectory directory;
   overwrite(directory.file(), "woadtide-state 2 0000000000000000 0\n");
-  CHECK_THROWS_AS(File(directory.file()).read(), std::runtime_error);
-  CHECK_THROWS_AS(File(directory.file()).write("x"), std::runtime_error);
+  CHECK_THROWS_AS(StateFile(directory.file()).read(), std::runtime_error);
+  CHECK_THROWS_AS(StateFile(directory.file()).write("x"), std::runtime_error);
   CHECK(contents(directory.file()).starts_with("woadtide-state 2 "));
 }
 
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -18,7 +18,7 @@
 namespace woadtide::store {
 namespace {
 
-using lab::Fault;
+using lab::StoreFault;
 
 struct TempFolder {
   TempFolder() {
@@ -26,10 +26,10 @@
     REQUIRE(::mkdtemp(name.data()));
     path = name;
     lab::install_fault_vfs();
-    lab::set_fault(Fault::none, 0);
+    lab::set_fault(StoreFault::none, 0);
   }
   ~TempFolder() {
-    lab::set_fault(Fault::none, 0);
+    lab::set_fault(StoreFault::none, 0);
     std::filesystem::remove_all(path);
   }
   Store open() const { return Store({path, 64ULL << 20, true}); }
@@ -37,7 +37,7 @@
 };
 
 Record make_record(const std::string& key, const std::string& meta, bool open = true, double changed = 1) {
-  return {key, meta, open ? Standing::open : Standing::closed, changed, {}, {}};
+  return {key, meta, open ? RecordState::open : RecordState::closed, changed, {}, {}};
 }
 
 // The meta of each record by key. run_commits() keeps two: what was confirmed to be on disk, and the same
@@ -75,7 +75,7 @@
 
 // Injects the fault at the Nth operation for every N: confirmed commits stay, the one in progress is stored
 // completely or not at all.
-void check_fault_at_every_operation(Fault fault) {
+void check_fault_at_every_operation(StoreFault fault) {
   int completed_at = 0;
   for (int nth = 1; completed_at == 0; ++nth) {
     CAPTURE(nth);
@@ -87,8 +87,8 @@
       run_commits(folder.path, confirmed, in_progress);
     } catch (const StoreError&) {
     }
-    if (lab::fault_operations() < nth) completed_at = nth;
-    lab::set_fault(Fault::none, 0);
+    if (lab::vfs_operation_count() < nth) completed_at = nth;
+    lab::set_fault(StoreFault::none, 0);
     Store store = folder.open();
     store.check();
     const MetaByKey found = read_all(store);
@@ -99,25 +99,25 @@
 }
 
 TEST_CASE("a crash before any operation keeps committed records and leaves no partial commit") {
-  check_fault_at_every_operation(Fault::dead);
+  check_fault_at_every_operation(StoreFault::dead);
 }
 TEST_CASE("a torn write at any operation keeps committed records and leaves no partial commit") {
-  check_fault_at_every_operation(Fault::tear);
+  check_fault_at_every_operation(StoreFault::tear);
 }
 TEST_CASE("a failure of any operation keeps committed records and leaves no partial commit") {
-  check_fault_at_every_operation(Fault::fail);
+  check_fault_at_every_operation(StoreFault::fail);
 }
 TEST_CASE("a full disk at any operation keeps committed records and leaves no partial commit") {
-  check_fault_at_every_operation(Fault::full);
+  check_fault_at_every_operation(StoreFault::full);
 }
 
 TEST_CASE("after a failed commit the store refuses everything until it is opened again") {
   TempFolder folder;
   Store store = folder.open();
   store.append({make_record("k", "one")});
-  lab::set_fault(Fault::fail, 1);
+  lab::set_fault(StoreFault::fail, 1);
   CHECK_THROWS_AS(store.append({make_record("k", "two")}), StoreError);
-  lab::set_fault(Fault::none, 0);
+  lab::set_fault(StoreFault::none, 0);
   CHECK_THROWS_AS(store.find("k"), StoreError);
   CHECK_THROWS_AS(store.append({make_record("l", "x")}), StoreError);
 }
@@ -192,12 +192,12 @@
   }
   store.append(records);
   const auto bytes_before = store.bytes_used();
-  while (store.compact(0, 50).packed > 0) {
+  while (store.compact(0, 50).compressed > 0) {
   }
   CHECK(store.bytes_used() < bytes_before / 4);
   CHECK(store.result("k7") == std::string(20'000, 'r'));
-  CHECK(store.newest() == 199);
-  while (store.compact(150, 50).dropped > 0) {
+  CHECK(store.newest_change() == 199);
+  while (store.compact(150, 50).deleted > 0) {
   }
   CHECK_FALSE(store.find("k149"));
   CHECK(store.find("k150"));
@@ -207,7 +207,8 @@
   store.append({make_record("o", "m", false)});
   store.append({make_record("o", "m")});  // accepted again: still one record
   CHECK(store.check() == 51);
-  store.read(Standing::open, [&](const Record& one) { return open_count += one.key == "o" ? 1 : 100, true; });
+  store.for_each(RecordState::open,
+                 [&](const Record& one) { return open_count += one.key == "o" ? 1 : 100, true; });
   CHECK(open_count == 1);
 }
 
--- a/tests/succession_test.cpp
+++ b/tests/succession_test.cpp
@@ -21,20 +21,20 @@
     char name[] = "/tmp/woadtide-test-XXXXXX";
     REQUIRE(::mkdtemp(name));
     folder = name;
-    clock.set(kNow);
+    clock.set(kStartTimeMs);
   }
   ~TwoProcesses() { std::filesystem::remove_all(folder); }
-  std::unique_ptr<Node> start(Hosts hosts) {
+  std::unique_ptr<Node> start(EndpointEntries hosts) {
     core::Config config = core::read_config(config_json(std::move(hosts), discovery.dial()));
-    config.passed_socket = ::dup(listener.socket.fd());
-    config.folder = folder;
+    config.passed_socket_fd = ::dup(listener.socket.fd());
+    config.shared_folder = folder;
     return std::make_unique<Node>(config, clock);
   }
   Peer client() { return Peer::to(listener.socket.port()); }
   // Sends a command to one given node, regardless of which one accepts on the shared socket.
   static std::string call(const Node& node, const std::string& line) { return call_management(node, line); }
 
-  Port listener, discovery, worker;
+  ListeningPort listener, discovery, worker;
   core::Clock clock;
   std::string folder;
 };
@@ -43,35 +43,35 @@
 // new ones go to the new process, and the shared listening socket outlives the old process.
 TEST_CASE("in a hot restart the old process answers its queries, and the new one accepts all new ones") {
   TwoProcesses processes;
-  const Hosts hosts{host_json("w", processes.worker.dial())};
+  const EndpointEntries hosts{endpoint_json("w", processes.worker.dial())};
   auto old = processes.start(hosts);
   const Peer watch = confirm_list(processes.discovery, *old);
   Peer busy = processes.client(), idle = processes.client();
   busy.write(query_text("a1", "refund-payout"));
   Peer first = processes.worker.accept();
-  first.message();
+  first.read_message();
   idle.write("GET /health/ready HTTP/1.1\r\n\r\n");
-  CHECK(starts_with(idle.message(), "HTTP/1.1 200 "));
+  CHECK(starts_with(idle.read_message(), "HTTP/1.1 200 "));
   auto next = processes.start(hosts);
   CHECK(starts_with(TwoProcesses::call(*old, "readyz\n"), "done"));
   await_ready(*next);  // by the list received from the old process
   // Its `ready` message does not travel with its answer to the test.
-  while (!old->hands_over()) std::this_thread::yield();
+  while (!old->has_successor()) std::this_thread::yield();
   std::atomic<bool> ended{false};
   std::thread end([&] {
-    old->finish();
+    old->shut_down();
     ended = true;
   });
-  CHECK(idle.closed());
+  CHECK(idle.is_closed());
   CHECK(starts_with(TwoProcesses::call(*old, "readyz\n"), "error"));
   Peer late = processes.client();
   late.write("GET /health/ready HTTP/1.1\r\n\r\n");
-  CHECK(starts_with(late.message(), "HTTP/1.1 200 "));
+  CHECK(starts_with(late.read_message(), "HTTP/1.1 200 "));
   // Guards a payout against a second run: its id is in progress at the other process.
   late.write(query_text("a1", "refund-payout"));
-  CHECK(starts_with(late.message(), "HTTP/1.1 400 "));
-  first.write(done("a1", "one"));
-  const std::string answer = busy.message();
+  CHECK(starts_with(late.read_message(), "HTTP/1.1 400 "));
+  first.write(done_response("a1", "one"));
+  const std::string answer = busy.read_message();
   CHECK(answer.ends_with("\r\n\r\none"));
   CHECK(contains(answer, "Connection: close\r\n"));
   while (!ended) processes.clock.set(processes.clock.now() + 1);
@@ -79,12 +79,12 @@
   old.reset();
   Peer after = processes.client();
   after.write("GET /health/ready HTTP/1.1\r\n\r\n");
-  CHECK(starts_with(after.message(), "HTTP/1.1 200 "));
+  CHECK(starts_with(after.read_message(), "HTTP/1.1 200 "));
 }
 
 TEST_CASE("an exclusion persists across a hot restart, and a command to one process applies to the other") {
   TwoProcesses processes;
-  const Hosts hosts{host_json("w", processes.worker.dial())};
+  const EndpointEntries hosts{endpoint_json("w", processes.worker.dial())};
   auto old = processes.start(hosts);
   const Peer watch = confirm_list(processes.discovery, *old);
   CHECK(starts_with(TwoProcesses::call(*old, "exclude w\n"), "done"));
@@ -95,7 +95,7 @@
   const auto ask = [&](const std::string& id) {
     Peer link = processes.client();
     link.write(query_text(id, "refund-payout"));
-    return link.message();
+    return link.read_message();
   };
   CHECK(starts_with(ask("b1"), "HTTP/1.1 503 "));
   auto third = processes.start(hosts);
@@ -105,9 +105,9 @@
   Peer client = processes.client();
   client.write(query_text("b2", "refund-payout"));
   Peer link = processes.worker.accept();
-  link.message();
-  link.write(done("b2", "ok"));
-  CHECK(starts_with(client.message(), "HTTP/1.1 200 "));
+  link.read_message();
+  link.write(done_response("b2", "ok"));
+  CHECK(starts_with(client.read_message(), "HTTP/1.1 200 "));
 }
 
 TEST_CASE(
@@ -116,8 +116,8 @@
   processes.start({}).reset();
   CHECK_FALSE(std::filesystem::is_empty(processes.folder));
   auto node = processes.start({});
-  CHECK_FALSE(node->hands_over());
-  processes.clock.set(kNow + 6'000);  // no list arrives
+  CHECK_FALSE(node->has_successor());
+  processes.clock.set(kStartTimeMs + 6'000);  // no list arrives
   await_ready(*node);
   Peer link = processes.client();
   CHECK_THROWS_AS(net::Socket::adopt_listener(link.socket.fd()), std::runtime_error);
@@ -130,36 +130,36 @@
   TwoProcesses processes;
   core::Inbox old_inbox, next_inbox;
   const auto unused = [](std::size_t) {};
-  park::Park park(processes.clock);
-  net::Succession old(processes.clock, old_inbox, park, unused),
+  park::EventLoop park(processes.clock);
+  net::HotRestart old(processes.clock, old_inbox, park, unused),
       next(processes.clock, next_inbox, park, unused);
   const auto await = [](core::Inbox& inbox, int sharers) {
-    for (int tries = 0; tries < 100; ++tries, inbox.wait(100))
-      for (const core::Message& message : inbox.take())
-        if (const auto* sharers_message = std::get_if<core::Sharers>(&message);
+    for (int tries = 0; tries < 100; ++tries, inbox.wait_for_message(100))
+      for (const core::Message& message : inbox.take_all())
+        if (const auto* sharers_message = std::get_if<core::AcceptingProcesses>(&message);
             sharers_message && sharers_message->processes == sharers)
           return;
     FAIL("never " << sharers);
   };
-  old.meet(processes.folder, "s", 0);
-  old.set_ready(true);
-  next.meet(processes.folder, "s", 0);
+  old.join_siblings(processes.folder, "s", 0);
+  old.set_accepts_clients(true);
+  next.join_siblings(processes.folder, "s", 0);
   await(next_inbox, 2);
   await(old_inbox, 1);
-  next.set_ready(true);
+  next.set_accepts_clients(true);
   await(old_inbox, 2);
-  old.set_ready(false);
+  old.set_accepts_clients(false);
   await(next_inbox, 1);
-  old.set_ready(true);
+  old.set_accepts_clients(true);
   await(next_inbox, 2);
-  next.end();
+  next.leave_siblings();
   await(old_inbox, 1);
 }
 
 TEST_CASE("two processes share one budget") {
   for (const std::size_t allowed : {128, 256, 1024})
     for (const std::size_t memory_mb : {16, 32, 192}) {
-      const Budget both(allowed, memory_mb, 2), alone(allowed, memory_mb);
+      const ResourceBudget both(allowed, memory_mb, 2), alone(allowed, memory_mb);
       CHECK(2 * (both.client_links + both.server_links) <= alone.client_links + alone.server_links);
       CHECK(2 * both.client_buffers <= alone.client_buffers + 32);
     }
@@ -170,15 +170,17 @@
 TEST_CASE(
     "a drain and a removal received by the old process apply to the new one, whatever its config remembers") {
   TwoProcesses processes;
-  Port other;
-  const Hosts hosts{host_json("w", processes.worker.dial()), host_json("gone", other.dial())};
+  ListeningPort other;
+  const EndpointEntries hosts{endpoint_json("w", processes.worker.dial()),
+                              endpoint_json("gone", other.dial())};
   auto old = processes.start(hosts);
   Peer watch = processes.discovery.accept();
-  watch.message();
+  watch.read_message();
   watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   const std::string line =
-      nlohmann::json{
-          {"seq", 50}, {"whole", true}, {"hosts", {host_json("w", processes.worker.dial(), "Terminating")}}}
+      nlohmann::json{{"seq", 50},
+                     {"whole", true},
+                     {"hosts", {endpoint_json("w", processes.worker.dial(), "Terminating")}}}
           .dump() +
       "\n";
   char size[16];
@@ -190,17 +192,17 @@
   old.reset();
   Peer client = processes.client();
   client.write(query_text("a1", "receipt-check"));
-  CHECK(starts_with(client.message(), "HTTP/1.1 503 "));
+  CHECK(starts_with(client.read_message(), "HTTP/1.1 503 "));
   CHECK(contains(TwoProcesses::call(*next, "telemetry\n"), "app.forwards.receipt-check:0|c"));
 }
 
 // Guards drains received while both processes live: the watch of the new one may be slower.
 TEST_CASE("a drain received by one process while both live is sent to the other") {
   TwoProcesses processes;
-  const Hosts hosts{host_json("w", processes.worker.dial())};
+  const EndpointEntries hosts{endpoint_json("w", processes.worker.dial())};
   auto old = processes.start(hosts);
   Peer watch = processes.discovery.accept();
-  watch.message();
+  watch.read_message();
   watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   auto next = processes.start(hosts);
   const std::string line = "{\"seq\":50,\"whole\":true,\"hosts\":[]}\n";
@@ -218,13 +220,13 @@
        {std::pair{"told\n", 0}, {"version 3\ntold\nlater-word x\n", 0}, {"version 4\ntold\n", 4}}) {
     CAPTURE(sent_text);
     TwoProcesses processes;
-    const Hosts hosts{host_json("w", processes.worker.dial())};
+    const EndpointEntries hosts{endpoint_json("w", processes.worker.dial())};
     const core::Config config = core::read_config(config_json(hosts, processes.discovery.dial()));
     char name[40];
     std::snprintf(name, sizeof name, "woadtide-%016llx",
-                  static_cast<unsigned long long>(hash_of(config.name + ' ' + config.listen)));
-    const net::UnixPlace path(processes.folder, name), temporary(processes.folder, "fresh");
-    const net::Socket listener = net::listen_over(path, temporary);
+                  static_cast<unsigned long long>(fnv1a_hash(config.name + ' ' + config.listen)));
+    const net::UnixSocketPath path(processes.folder, name), temporary(processes.folder, "fresh");
+    const net::Socket listener = net::listen_replacing(path, temporary);
     REQUIRE(listener);
     net::Socket link;
     std::atomic<bool> stop{false};
@@ -233,7 +235,7 @@
         link = net::Socket{net::Fd(::accept4(listener.fd(), nullptr, nullptr, SOCK_CLOEXEC))};
         std::this_thread::yield();
       }
-      if (link) link.send_some({sent_text});
+      if (link) link.send_available({sent_text});
     });
     if (version == 0) {
       CHECK_NOTHROW(processes.start(hosts));
@@ -252,29 +254,30 @@
 // Guards that a restarted supervisor gets the listening socket back and notices the end of the process.
 TEST_CASE("a control socket passes the listening socket, reports the version, and ends with the process") {
   TwoProcesses processes;
-  core::Config config = core::read_config(config_json(Hosts{}, processes.discovery.dial()));
-  config.passed_socket = ::dup(processes.listener.socket.fd());
-  config.tether = processes.folder + "/tether";
+  core::Config config = core::read_config(config_json(EndpointEntries{}, processes.discovery.dial()));
+  config.passed_socket_fd = ::dup(processes.listener.socket.fd());
+  config.control_socket_path = processes.folder + "/tether";
   config.version = "9.9";
   auto node = std::make_unique<Node>(config, processes.clock);
-  net::Tethered found = net::reach(config.tether, 2'000);
+  net::ControlSocketConnection found = net::connect_control_socket(config.control_socket_path, 2'000);
   REQUIRE(found.link);
   CHECK(found.pid == ::getpid());
   CHECK(found.line == "9.9 kin 2 settings none");
   CHECK(found.listener.port() == processes.listener.socket.port());
   CHECK(TwoProcesses::call(*node, "version\n") == "done 9.9 kin 2 settings none\n");
   // More callers than the limit: the oldest connection ends, the newest stays.
-  std::vector<net::Tethered> callers;
-  for (std::size_t i = 0; i < net::Tether::kMostCallers; ++i)
-    callers.push_back(net::reach(config.tether, 2'000));
+  std::vector<net::ControlSocketConnection> callers;
+  for (std::size_t i = 0; i < net::ControlSocket::kMaxConnections; ++i)
+    callers.push_back(net::connect_control_socket(config.control_socket_path, 2'000));
   char byte = 0;
   std::size_t byte_count = 0;
   core::Clock real;
-  CHECK(found.link.receive(&byte, 1, byte_count, real.now() + 2'000, real) == net::Io::ended);
-  CHECK(callers.back().link.receive(&byte, 1, byte_count) == net::Io::late);
+  CHECK(found.link.receive(&byte, 1, byte_count, real.now() + 2'000, real) == net::IoResult::end_of_stream);
+  CHECK(callers.back().link.receive(&byte, 1, byte_count) == net::IoResult::timed_out);
   node.reset();
-  CHECK(callers.back().link.receive(&byte, 1, byte_count, real.now() + 2'000, real) == net::Io::ended);
-  CHECK_FALSE(net::reach(config.tether, 100).link);
+  CHECK(callers.back().link.receive(&byte, 1, byte_count, real.now() + 2'000, real) ==
+        net::IoResult::end_of_stream);
+  CHECK_FALSE(net::connect_control_socket(config.control_socket_path, 100).link);
 }
 
 }  // namespace
--- a/tests/supervise_test.cpp
+++ b/tests/supervise_test.cpp
@@ -65,7 +65,7 @@
   }
   void serve(int slot) {
     processes[static_cast<std::size_t>(slot)]->serves = true;
-    execute(core.serves(now, slot));
+    execute(core.on_ready(now, slot));
   }
   void end_process(int slot) {
     processes[static_cast<std::size_t>(slot)].reset();
@@ -76,7 +76,7 @@
     for (double until = now + ms; now < until;) {
       now += step;
       execute(core.tick(now));
-      for (int slot = 0; slot < Core::kSlots; ++slot) {
+      for (int slot = 0; slot < SupervisorCore::kSlots; ++slot) {
         auto& process = processes[static_cast<std::size_t>(slot)];
         if (!process) continue;
         process->age += step;
@@ -90,15 +90,15 @@
     }
   }
   void restart() {
-    core = Core::from(core.text(), limits);
+    core = SupervisorCore::parse(core.serialize(), limits);
     core.set_has_socket(holds_socket);
-    for (int slot = 0; slot < Core::kSlots; ++slot)
+    for (int slot = 0; slot < SupervisorCore::kSlots; ++slot)
       if (const auto& process = processes[static_cast<std::size_t>(slot)])
         core.adopt(now, slot, process->version);
     // The new supervisor probes at once and finds the children that serve.
-    for (int slot = 0; slot < Core::kSlots; ++slot) {
+    for (int slot = 0; slot < SupervisorCore::kSlots; ++slot) {
       const auto& process = processes[static_cast<std::size_t>(slot)];
-      if (process && process->serves && !process->killed) execute(core.serves(now, slot));
+      if (process && process->serves && !process->killed) execute(core.on_ready(now, slot));
     }
   }
   const Version* serving() const {
@@ -114,8 +114,8 @@
   };
   Limits limits;
   double now = 1'000;
-  Core core;
-  std::array<std::optional<Process>, Core::kSlots> processes;
+  SupervisorCore core;
+  std::array<std::optional<Process>, SupervisorCore::kSlots> processes;
   std::uint64_t examined = 0;
   int starts = 0;
   bool shutting_down = false, holds_socket = true;
@@ -126,15 +126,15 @@
   simulation.pass(200);
   REQUIRE(simulation.serving());
   CHECK(simulation.send_order(order(Order::Kind::check, 1)).empty());
-  CHECK(simulation.core.progress() == Core::Progress::working);
+  CHECK(simulation.core.progress() == SupervisorCore::Progress::working);
   simulation.examine(kNew);
-  CHECK(simulation.core.progress() == Core::Progress::done);
+  CHECK(simulation.core.progress() == SupervisorCore::Progress::done);
   CHECK(simulation.send_order(order(Order::Kind::move, 2)).empty());
   CHECK(*simulation.serving() == kOld);
   CHECK(simulation.starts == 2);
   simulation.pass(300);
   CHECK(*simulation.serving() == kNew);
-  CHECK(simulation.core.progress() == Core::Progress::done);
+  CHECK(simulation.core.progress() == SupervisorCore::Progress::done);
   CHECK(simulation.send_order(order(Order::Kind::move, 2)).empty());  // a repeated order has no effect
   CHECK(simulation.starts == 2);
   CHECK(simulation.send_order(order(Order::Kind::go_back, 3)).empty());
@@ -150,12 +150,12 @@
   simulation.send_order(order(Order::Kind::move, 2));
   simulation.processes[1]->stuck = true;
   simulation.pass(1'500);
-  CHECK(simulation.core.progress() == Core::Progress::failed);
+  CHECK(simulation.core.progress() == SupervisorCore::Progress::failed);
   CHECK(simulation.core.failure_reason() == "it did not get ready in time");
   CHECK(*simulation.serving() == kOld);
   simulation.send_order(order(Order::Kind::check, 3));
   simulation.examine({}, "no such file");
-  CHECK(simulation.core.progress() == Core::Progress::failed);
+  CHECK(simulation.core.progress() == SupervisorCore::Progress::failed);
   CHECK_FALSE(simulation.send_order(order(Order::Kind::move, 4)).empty());  // no version was checked
 }
 
@@ -218,17 +218,17 @@
   simulation.core.set_has_socket(true);
   simulation.pass(500);
   CHECK(*simulation.serving() == kNew);
-  CHECK(simulation.core.progress() == Core::Progress::done);
+  CHECK(simulation.core.progress() == SupervisorCore::Progress::done);
 }
 
 TEST_CASE("excluded workers and an evacuation outlive the supervisor and its children") {
   SimulatedProcesses simulation;
-  simulation.core.exclude("w1", true);
+  simulation.core.set_excluded("w1", true);
   simulation.core.set_evacuated(true);
   simulation.restart();
   CHECK(simulation.core.excluded_workers().contains("w1"));
   CHECK(simulation.core.evacuated());
-  simulation.core.exclude("w1", false);
+  simulation.core.set_excluded("w1", false);
   simulation.restart();
   CHECK(simulation.core.excluded_workers().empty());
 }
@@ -246,9 +246,9 @@
 }
 
 TEST_CASE("a malformed state or one of another format is refused") {
-  CHECK_THROWS_AS(Core::from("", {}), std::invalid_argument);
-  CHECK_THROWS_AS(Core::from("{\"format\": 2}", {}), std::invalid_argument);
-  CHECK_THROWS_AS(Core::from("{\"format\": 1}", {}), std::invalid_argument);
+  CHECK_THROWS_AS(SupervisorCore::parse("", {}), std::invalid_argument);
+  CHECK_THROWS_AS(SupervisorCore::parse("{\"format\": 2}", {}), std::invalid_argument);
+  CHECK_THROWS_AS(SupervisorCore::parse("{\"format\": 1}", {}), std::invalid_argument);
 }
 
 // Checks the invariants of README.md together: after any sequence of events a child serves, with the version
@@ -289,13 +289,13 @@
     }
     for (auto& process : simulation.processes)
       if (process) process->stuck = false;
-    if (simulation.core.progress() == Core::Progress::working &&
+    if (simulation.core.progress() == SupervisorCore::Progress::working &&
         simulation.examined == simulation.core.last_order_number())
       simulation.examine(kNew);
     simulation.pass(12'000);
     RC_ASSERT(simulation.serving() != nullptr);
     RC_ASSERT(*simulation.serving() == simulation.core.desired());
-    RC_ASSERT(simulation.core.progress() != Core::Progress::working);
+    RC_ASSERT(simulation.core.progress() != SupervisorCore::Progress::working);
     RC_ASSERT(!simulation.processes[static_cast<std::size_t>(1 - simulation.core.active_slot())]);
   }));
 }
