--- a/include/woadtide/balance.hpp
+++ b/include/woadtide/balance.hpp
@@ -121,8 +121,8 @@
   std::string id;
 };
 
-// How an attempt ended. full: the worker turned it away. moot: it was not started, as Send::not_after had
-// passed.
+// How an attempt ended. full: the worker turned it away. not_started: Send::not_after had passed before
+// the start.
 enum class Status { ok, error, full, timeout, connect_failed, reset, cancelled, not_started };
 // Whether an attempt that ended with `status` certainly did not run, so that it may be sent again whatever
 // its class.
@@ -184,7 +184,7 @@
   std::string worker;
   Micros timeout{0};  // 0: until the client gives up
   // Latest start of a repeat that only a deduplication window makes harmless. When the time has passed, it is
-  // not sent and ends with Status::moot. 0: no such limit.
+  // not sent and ends with Status::not_started. 0: no such limit.
   Micros not_after{0};
 };
 // Ends the request; a retry does no harm.
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -15,7 +15,8 @@
 namespace woadtide {
 namespace {
 
-// Time between two updates of the AIMD concurrency limits, as the AIMD algorithm prescribes it.
+// Time between two updates of the AIMD concurrency limits, from the paper "Adaptive Concurrency Control for
+// Mixed Analytical Workloads".
 constexpr Micros kLimitUpdateInterval = std::chrono::seconds(3);
 // Multiplicative decrease of a limit; with an increase of 1 slot per update it settles within a few updates.
 constexpr double kLimitDecreaseFactor = 0.7;
--- a/src/endpoints/update.hpp
+++ b/src/endpoints/update.hpp
@@ -14,7 +14,7 @@
 // A deque, because a vector takes up to three times the size of its content while it grows.
 using EndpointSequence = std::deque<Endpoint>;
 
-// `whole`: a snapshot instead of a delta.
+// An update of the list. `is_snapshot`: the complete list instead of a delta.
 struct EndpointUpdate {
   std::int64_t sequence = 0;
   bool is_snapshot = false;
--- a/src/jobs/keeper.hpp
+++ b/src/jobs/keeper.hpp
@@ -52,7 +52,7 @@
 // The state of a job or the outcome of a call, as reported to the client. `status` is an HTTP status.
 struct Reply {
   int status = 503;        // 200 result, 202 open, 4xx, 502 failed or in doubt, 503 refused
-  std::string state = {};  // lease::name_of() of the state; empty if there is no job
+  std::string state = {};  // lease::state_name() of the state; empty if there is no job
   std::string body = {};
   double retry_after_ms = 0;
 };
--- a/src/lab/discovery.hpp
+++ b/src/lab/discovery.hpp
@@ -48,7 +48,7 @@
   int seq_ = 1;
   std::atomic<bool> stopping_{false}, down_{false};
   std::atomic<double> answer_delay_ms_{0};
-  std::atomic<int> silence_count_{0};  // number of silence_watches() calls
+  std::atomic<int> silence_count_{0};  // number of mute_open_watches() calls
   Acceptor acceptor_;                  // declared last: its threads use the other members
 };
 
--- a/src/lab/fleet_sim.hpp
+++ b/src/lab/fleet_sim.hpp
@@ -29,7 +29,7 @@
   int order_count = 0;
   double cpu_ms_per_step = 0;  // mean CPU time per step of the assessor and the rollout logic
 };
-// Runs a simulation; depends only on its arguments (except judge_ms).
+// Runs a simulation; depends only on its arguments (except cpu_ms_per_step).
 FleetSimResult simulate_change(const FleetSimSettings& setup, std::uint64_t seed);
 
 }  // namespace woadtide::lab
--- a/src/net/host_group.hpp
+++ b/src/net/host_group.hpp
@@ -24,7 +24,7 @@
 
 namespace woadtide::net {
 
-// Keeps the endpoint list and a watch on it; posts every change to the Inbox as core::ListTold.
+// Keeps the endpoint list and a watch on it; posts every change to the Inbox as core::ListUpdateReceived.
 class EndpointListClient : public core::EndpointSource,
                            private park::EventHandler,
                            private endpoints::EndpointListListener {
@@ -47,8 +47,8 @@
   static constexpr int kMaxResponseTimeoutFactor = 4;
   // If no memory limit is configured: the largest of the deployment requirements.
   static constexpr std::size_t kDefaultMemoryBytes = 192'000'000;
-  // How lists are obtained. asked: on request of the module, from discovery. pushed: from an agent on this
-  // machine.
+  // How lists are obtained. on_request: on request of the module, from discovery. pushed: from an agent
+  // on this machine.
   enum class DiscoveryMode { on_request, pushed };
 
   // A worker's list entry with its dial address, as text and parsed.
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -77,7 +77,7 @@
   // 0.
   CompactionCounts compact(double older_than, std::size_t max_records);
 
-  // Bytes of the file in use, without free pages that can be reused; to be compared with Options::most_bytes.
+  // Bytes of the file in use, without free pages that can be reused; to be compared with Options::max_bytes.
   std::uint64_t bytes_used();
   // Reads and verifies every row. Returns the number of records.
   std::size_t check();
--- a/src/verdict/verdict.cpp
+++ b/src/verdict/verdict.cpp
@@ -183,7 +183,7 @@
     reason_ = "memory: " + std::to_string(std::lround(changed_mb)) + " MB against " +
               std::to_string(std::lround(reference_mb)) + " MB";
   else if (high_cpu_slices_ >= limits_.consecutive_slices)
-    reason_ = "CPU per query: " + std::to_string(std::lround(100 * cpu_ratio)) + "% of the old cohort's";
+    reason_ = "CPU a query: " + std::to_string(std::lround(100 * cpu_ratio)) + "% of the old cohort's";
 }
 
 std::pair<std::string, double> Verdict::least_certain() const {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -305,7 +305,7 @@
       std::this_thread::yield();
     }
   }
-  // Waits until the newest link in this state had its last activity `at` ms after kNow.
+  // Waits until the newest link in this state had its last activity `at` ms after kStartTimeMs.
   void await_last_activity(ConnectionState state, double at) {
     const core::Clock real;
     for (const double deadline = real.now() + 10'000; links->last_activity(state) != kStartTimeMs + at;) {
