--- a/src/core/config.cpp
+++ b/src/core/config.cpp
@@ -50,7 +50,7 @@
   std::ifstream file(path);
   if (!file) throw std::runtime_error(path + ": cannot be read");
   const nlohmann::json object = nlohmann::json::parse(file, nullptr, false);
-  if (object.is_discarded()) throw std::runtime_error(path + ": not valid JSON");
+  if (object.is_discarded()) throw std::runtime_error(path + ": not JSON");
   try {
     return read_config(object);
   } catch (const std::runtime_error& error) {
